--- a/crates/core/src/dispatch/entry.rs
+++ b/crates/core/src/dispatch/entry.rs
@@ -20,7 +20,7 @@
 use trefoil_schema::dispatch::{Claim, Holder, Job as JobSpec, Load, Outcome};
 
 use super::limits::{DELEGATED_GAP_MS, UNPLACED_MAX_MS};
-use super::owner::Ending;
+use super::owner::JobResult;
 use super::ownership::holder_of;
 
 use choice::{choose, width_of, work_of};
@@ -154,7 +154,7 @@
     }
 
     /// Takes in how an owner says that a job ended.
-    pub fn ended(&mut self, now_ms: u64, from: &Owned, ending: &Ending, out: &mut Vec<Command>) {
+    pub fn ended(&mut self, now_ms: u64, from: &Owned, ending: &JobResult, out: &mut Vec<Command>) {
         let id = ending.job_id.as_str();
         let outcome = ending.outcome;
         let Some(job) = self.jobs.get_mut(id) else {
--- a/crates/core/src/dispatch/entry/refusal.rs
+++ b/crates/core/src/dispatch/entry/refusal.rs
@@ -1,7 +1,7 @@
 //! Jobs that an owner refuses, and those that are given up.
 
 use super::super::limits::{OWNER_FOLLOWS_MS, POOLS_TRIED_MAX, RETRY_AFTER_MS};
-use super::super::owner::Ending;
+use super::super::owner::JobResult;
 use super::{Answer, Cause, Command, Entry, Owned, Place};
 
 /// Why a job is refused that an owner has no room for.
@@ -39,7 +39,7 @@
         &mut self,
         now_ms: u64,
         from: &Owned,
-        ending: &Ending,
+        ending: &JobResult,
         out: &mut Vec<Command>,
     ) {
         let id = ending.job_id.as_str();
--- a/crates/core/src/dispatch/job.rs
+++ b/crates/core/src/dispatch/job.rs
@@ -6,7 +6,7 @@
 use trefoil_schema::dispatch::{Job as JobSpec, Phase};
 
 use super::order::WorkerKey;
-use super::owner::ClearedBy;
+use super::owner::StartBarrier;
 
 /// Up to this multiple of the objective, an answer is late but not worthless.
 pub const LATE_FACTOR: f64 = 3.0;
@@ -84,7 +84,7 @@
     /// Until then tasks that an earlier owner started may run ...
     pub unsafe_until_ms: u64,
     /// ... unless this makes it safe sooner.
-    pub cleared_by: ClearedBy,
+    pub cleared_by: StartBarrier,
     /// Whether the job's runs are being stopped.
     pub stopping: bool,
     /// Whether the origin's link broke: nothing new starts until it is back.
@@ -107,7 +107,7 @@
             tasks,
             arrived_ms,
             unsafe_until_ms: now_ms,
-            cleared_by: ClearedBy::Time,
+            cleared_by: StartBarrier::LeaseExpiry,
             stopping: false,
             paused: false,
             started: false,
@@ -119,9 +119,9 @@
     /// tells whether all workers obey that the predecessor may have ordered.
     pub fn is_safe(&self, now_ms: u64, fenced: bool) -> bool {
         let cleared = match self.cleared_by {
-            ClearedBy::Time => false,
-            ClearedBy::Own => true,
-            ClearedBy::Fencing => fenced,
+            StartBarrier::LeaseExpiry => false,
+            StartBarrier::None => true,
+            StartBarrier::PredecessorFenced => fenced,
         };
         cleared || now_ms >= self.unsafe_until_ms
     }
--- a/crates/core/src/dispatch/owner.rs
+++ b/crates/core/src/dispatch/owner.rs
@@ -4,49 +4,49 @@
 //! orders, and pushes [`Command`]s. The steps are in the modules below:
 //!
 //! * [`admission`]: which jobs may wait, and what refused callers are told.
-//! * [`judge`]: what that is decided by, and what follows.
+//! * [`admit`]: what that is decided by, and what follows.
 //! * [`forecast`]: when waiting jobs can begin.
 //! * [`shares`]: each class's share of the room.
 //! * [`queue`]: the order in which waiting jobs are tried.
 //! * [`run_times`]: how long tasks take.
-//! * [`place`]: which task starts where.
-//! * [`reserve`]: room kept for begun jobs that are late.
-//! * [`answer_times`]: how long to wait for answers.
-//! * [`answers`]: what became of starts and stops.
-//! * [`holds`]: leases, ends, and the fate of orders without an answer.
-//! * [`crashes`]: tasks that crash the workers that start them.
+//! * [`placement`]: which task starts where.
+//! * [`reservation`]: room kept for begun jobs that are late.
+//! * [`answer_timeout`]: how long to wait for answers.
+//! * [`order_results`]: what became of starts and stops.
+//! * [`lease_renewal`]: leases, ends, and the fate of orders without an answer.
+//! * [`poison_tasks`]: tasks that crash the workers that start them.
 //! * [`overdue`]: runs that take longer than they should.
 //! * [`adopt`]: what an earlier owner left behind.
 //! * [`closure`]: a failure domain that takes no new tasks.
-//! * [`clearance`]: when a job is safe that an earlier owner had.
+//! * [`start_barrier`]: when a job is safe that an earlier owner had.
 //! * [`origins`]: those who delegated jobs, and their links.
-//! * [`ends`]: what a run's end means for its task and job.
-//! * [`endings`]: how jobs end.
+//! * [`completions`]: what a run's end means for its task and job.
+//! * [`job_results`]: how jobs end.
 
 mod admission;
+mod admit;
 mod adopt;
-mod answer_times;
-mod answers;
-mod clearance;
+mod answer_timeout;
 mod closure;
 mod command;
-mod crashes;
-mod endings;
-mod ends;
-mod figures;
+mod completions;
 mod forecast;
-mod holds;
-mod judge;
-mod note;
+mod job_results;
+mod lease_renewal;
+mod log_event;
+mod order_results;
 mod origins;
 mod overdue;
-mod place;
+mod placement;
+mod poison_tasks;
 mod queue;
 mod rate;
-mod reserve;
+mod reservation;
 mod run_times;
 mod settings;
 mod shares;
+mod start_barrier;
+mod stats;
 
 use std::collections::{BTreeMap, BTreeSet, HashMap, HashSet, VecDeque};
 use std::sync::Arc;
@@ -62,11 +62,11 @@
 };
 use super::ownership::{Predecessor, Roster};
 use super::worker::{RunOwner, RunState, Standing, Worker, WorkerRecord};
-pub use clearance::ClearedBy;
-pub use command::{Answered, Command, Ending};
-pub use figures::Sizes;
-pub use note::{About, Note};
+pub use command::{Command, JobResult, OrderResult};
+pub use log_event::{LogEvent, LogTopic};
 pub use settings::Settings;
+pub use start_barrier::StartBarrier;
+pub use stats::OwnerStats;
 
 /// Added to run numbers when a worker knows a later run: an earlier owner's
 /// clock was ahead. Covers half a minute.
@@ -85,10 +85,10 @@
     job_ids: HashMap<String, JobKey>,
     queue: queue::Queue,
     run_times: run_times::RunTimes,
-    answer_times: answer_times::AnswerTimes,
+    answer_times: answer_timeout::AnswerTimes,
     /// Ends of tasks that no job here has claimed, with their instants.
     orphan_ends: HashMap<Arc<str>, (EndKind, u64)>,
-    losses: crashes::Losses,
+    losses: poison_tasks::Losses,
     /// Jobs that ended lately.
     ended: VecDeque<(u64, String, Outcome)>,
     dirty: BTreeSet<WorkerKey>,
@@ -97,10 +97,10 @@
     /// Origins whose links broke lately, oldest first, with the instants.
     lost_origins: VecDeque<(u64, Origin)>,
     run_seed: u64,
-    clearance: clearance::Clearance,
+    clearance: start_barrier::Clearance,
     closure: closure::Closure,
     /// Workers that may be used; none where every one may be.
-    announced: Option<Roster>,
+    stored_roster: Option<Roster>,
     released: bool,
     admission: admission::Admission,
     settings: Settings,
@@ -118,17 +118,17 @@
             job_ids: HashMap::new(),
             queue: queue::Queue::default(),
             run_times: run_times::RunTimes::default(),
-            answer_times: answer_times::AnswerTimes::default(),
+            answer_times: answer_timeout::AnswerTimes::default(),
             orphan_ends: HashMap::new(),
-            losses: crashes::Losses::default(),
+            losses: poison_tasks::Losses::default(),
             ended: VecDeque::new(),
             dirty: BTreeSet::new(),
             alive_ms: HashMap::new(),
             lost_origins: VecDeque::new(),
             run_seed,
-            clearance: clearance::Clearance::default(),
+            clearance: start_barrier::Clearance::default(),
             closure: closure::Closure::default(),
-            announced: None,
+            stored_roster: None,
             released: false,
             admission: admission::Admission::default(),
             settings: Settings::default(),
@@ -138,8 +138,12 @@
     /// The same owner under `holder`'s name, after a predecessor whose roster the
     /// store told.
     #[must_use]
-    pub fn following(mut self, holder: Option<Holder>, predecessor: Option<Predecessor>) -> Self {
-        self.clearance = clearance::Clearance::new(holder, predecessor);
+    pub fn with_predecessor(
+        mut self,
+        holder: Option<Holder>,
+        predecessor: Option<Predecessor>,
+    ) -> Self {
+        self.clearance = start_barrier::Clearance::new(holder, predecessor);
         self
     }
 
@@ -165,7 +169,7 @@
             if worker.unlisted_ms.is_none() && !listed.contains(&worker.record.id) {
                 worker.unlisted_ms = Some(now_ms);
                 self.dirty.insert(key);
-                out.push(Command::Note(Note::worker("unlisted", worker)));
+                out.push(Command::Log(LogEvent::worker("unlisted", worker)));
             }
         }
         self.settle(now_ms, out);
@@ -175,12 +179,12 @@
         if let Some(&key) = self.worker_ids.get(&record.id) {
             let worker = &mut self.workers[key];
             if worker.record.draining != record.draining {
-                out.push(Command::Note(Note::worker("draining", worker)));
+                out.push(Command::Log(LogEvent::worker("draining", worker)));
             }
             if worker.record.capacity != record.capacity {
-                let mut note = Note::worker("capacity changed", worker);
+                let mut note = LogEvent::worker("capacity changed", worker);
                 note.detail = format!("{:?} to {:?}", worker.record.capacity, record.capacity);
-                out.push(Command::Note(note));
+                out.push(Command::Log(note));
             }
             worker.unlisted_ms = None;
             worker.record = record;
@@ -189,7 +193,7 @@
         let id = record.id.clone();
         let mut worker = Worker::new(record, self.fence);
         worker.announced = self.may_use(&id);
-        out.push(Command::Note(Note::worker("listed", &worker)));
+        out.push(Command::Log(LogEvent::worker("listed", &worker)));
         let key = self.workers.insert(worker);
         self.worker_ids.insert(id, key);
         self.dirty.insert(key);
@@ -261,7 +265,7 @@
         let Some(key) = key else {
             return;
         };
-        out.push(Command::Note(Note::job("cancelled", job_id)));
+        out.push(Command::Log(LogEvent::job("cancelled", job_id)));
         self.abandon(now_ms, key, out);
         self.settle(now_ms, out);
     }
--- a/crates/core/src/dispatch/owner/judge.rs
+++ b/crates/core/src/dispatch/owner/admit.rs
@@ -57,7 +57,7 @@
     /// nothing has begun and that have no prospects; where one has just come
     /// (`new`), only that one is decided on.
     fn judge(&mut self, now_ms: u64, new: Option<JobKey>, out: &mut Vec<Command>) {
-        if self.settings.admits_all || self.queue.is_empty() || self.workers.is_empty() {
+        if self.settings.admit_all || self.queue.is_empty() || self.workers.is_empty() {
             return;
         }
         let mut load = self.load_now(now_ms);
@@ -75,7 +75,7 @@
             if prospect.is_of_use(job) {
                 load.forecast.take(millicores, job.remaining_ms());
             } else if is_new || new.is_none() {
-                out.push(Command::Note(self.refusal(now_ms, &load, job, prospect)));
+                out.push(Command::Log(self.refusal(now_ms, &load, job, prospect)));
                 self.refuse(now_ms, key, "its turn would come too late", out);
             }
             if is_new {
@@ -98,9 +98,9 @@
     }
 
     /// A line on a refusal and what decided it.
-    fn refusal(&self, now_ms: u64, load: &LoadNow, job: &Job, prospect: Prospect) -> Note {
+    fn refusal(&self, now_ms: u64, load: &LoadNow, job: &Job, prospect: Prospect) -> LogEvent {
         let from_now = |at_ms: u64| at_ms as i64 - now_ms as i64;
-        let mut note = Note::job("refused", &job.spec.id);
+        let mut note = LogEvent::job("refused", &job.spec.id);
         note.detail = format!(
             "class {} takes_ms {} due_in_ms {} begins_in_ms {} late_begins_in_ms {:?} \
              usable_millicores {:.0} offered_millicores {:.0} over_share {}",
--- a/crates/core/src/dispatch/owner/adopt.rs
+++ b/crates/core/src/dispatch/owner/adopt.rs
@@ -34,10 +34,10 @@
                 } else {
                     task.state = TaskState::OnWorker(worker_key);
                     let phase = job.spec.phases[usize::from(task.phase)].clone();
-                    run.room = Some(place::room_of(&phase));
+                    run.room = Some(placement::room_of(&phase));
                     run.estimate_ms = phase.estimate_ms;
                     run.expected_ms = phase.estimate_ms;
-                    run.patience = place::patience(run.expected_ms, 0);
+                    run.patience = placement::patience(run.expected_ms, 0);
                 }
                 task.run_id = task.run_id.max(run.run_id);
                 run.owner = RunOwner::Task(key, index);
--- a/crates/core/src/dispatch/owner/closure.rs
+++ b/crates/core/src/dispatch/owner/closure.rs
@@ -105,6 +105,6 @@
             "begun jobs may start tasks for {begun_for_ms} ms, jobs {}",
             self.jobs.len()
         );
-        out.push(Command::Note(Note::pool(event, detail)));
+        out.push(Command::Log(LogEvent::pool(event, detail)));
     }
 }
--- a/crates/core/src/dispatch/owner/command.rs
+++ b/crates/core/src/dispatch/owner/command.rs
@@ -4,7 +4,7 @@
 
 use trefoil_schema::dispatch::Outcome;
 
-use super::Note;
+use super::LogEvent;
 use crate::dispatch::fence::Fence;
 use crate::dispatch::job::Origin;
 use crate::dispatch::order::{HoldOrder, OrderOutcome, StartOrder, StopOrder, WorkerKey};
@@ -17,25 +17,25 @@
     /// Send a stop.
     Stop(StopOrder),
     /// Send a hold.
-    Hold(HoldOrder),
+    Renew(HoldOrder),
     /// Tell the origin how its job ended.
-    Ended {
+    JobEnded {
         /// Who delegated it.
         origin: Origin,
         /// How it ended.
-        ending: Ending,
+        result: JobResult,
         /// Why, for people.
         reason: &'static str,
     },
     /// Another owner outranks this one on a worker.
-    Outranked,
+    Superseded,
     /// Write a line on a decision.
-    Note(Note),
+    Log(LogEvent),
 }
 
 /// How a job ended at its owner.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Ending {
+pub struct JobResult {
     /// The job.
     pub job_id: String,
     /// How it ended.
@@ -46,7 +46,7 @@
 
 /// What became of a start or stop.
 #[derive(Clone, Debug)]
-pub struct Answered {
+pub struct OrderResult {
     /// The worker.
     pub worker: WorkerKey,
     /// Fence of the order.
--- a/crates/core/src/dispatch/owner/ends.rs
+++ b/crates/core/src/dispatch/owner/completions.rs
@@ -39,10 +39,10 @@
             EndKind::Stopped | EndKind::Lapsed => {}
         }
         if end.how != EndKind::Done {
-            let mut note = Note::job("run ended", &end.task);
+            let mut note = LogEvent::job("run ended", &end.task);
             note.worker = self.workers[key].record.id.to_string();
             note.detail = format!("{:?} after {took_ms} ms", end.how);
-            out.push(Command::Note(note));
+            out.push(Command::Log(note));
         }
         match (end.how, run.owner) {
             (EndKind::Done, RunOwner::Task(job, index)) => self.task_done(now_ms, job, index, out),
--- a/crates/core/src/dispatch/owner/endings.rs
+++ b/crates/core/src/dispatch/owner/job_results.rs
@@ -112,14 +112,14 @@
         let retry_after_ms = self.retry_after_ms(now_ms, key);
         let job = &self.jobs[key];
         if let Some(origin) = job.origin {
-            let ending = Ending {
+            let result = JobResult {
                 job_id: job.spec.id.clone(),
                 outcome: Outcome::NotRun,
                 retry_after_ms,
             };
-            out.push(Command::Ended {
+            out.push(Command::JobEnded {
                 origin,
-                ending,
+                result,
                 reason,
             });
         }
@@ -134,14 +134,14 @@
         reason: &'static str,
         out: &mut Vec<Command>,
     ) {
-        let ending = Ending {
+        let result = JobResult {
             job_id,
             outcome,
             retry_after_ms: 0,
         };
-        out.push(Command::Ended {
+        out.push(Command::JobEnded {
             origin,
-            ending,
+            result,
             reason,
         });
     }
--- a/crates/core/src/dispatch/owner/holds.rs
+++ b/crates/core/src/dispatch/owner/lease_renewal.rs
@@ -58,7 +58,7 @@
             sent_ms: now_ms,
             wait_ms,
         });
-        out.push(Command::Hold(HoldOrder {
+        out.push(Command::Renew(HoldOrder {
             target: target_of(key, worker),
             number: worker.holds_sent,
             deadline_ms,
@@ -69,7 +69,7 @@
     }
 
     /// Takes in what became of the hold of this number, sent under `fence`.
-    pub fn hold_answered(
+    pub fn on_renew_result(
         &mut self,
         now_ms: u64,
         key: WorkerKey,
@@ -106,7 +106,7 @@
                 let is_back = worker.standing == Standing::Unfenced;
                 if is_back {
                     worker.standing = Standing::Fenced;
-                    out.push(Command::Note(Note::worker("fenced", worker)));
+                    out.push(Command::Log(LogEvent::worker("fenced", worker)));
                 }
                 if self.clearance.fenced(&worker.record.id) {
                     self.queue.invalidate();
@@ -130,7 +130,7 @@
             HoldOutcome::OtherLife => {}
             HoldOutcome::Unhealthy | HoldOutcome::NoAnswer => {
                 if worker.standing == Standing::Fenced {
-                    out.push(Command::Note(Note::worker(
+                    out.push(Command::Log(LogEvent::worker(
                         "lease renewal unanswered",
                         worker,
                     )));
@@ -201,9 +201,9 @@
             .filter(|listed| worker.position(&listed.task, listed.run_id).is_none())
             .collect();
         for run in gone {
-            let mut note = Note::job("run not found", &run.task);
+            let mut note = LogEvent::job("run not found", &run.task);
             note.worker = self.workers[key].record.id.to_string();
-            out.push(Command::Note(note));
+            out.push(Command::Log(note));
             self.requeue(now_ms, &run.owner, 0);
         }
         for listed in strangers {
@@ -231,7 +231,7 @@
                 job.tasks[index].state = TaskState::OnWorker(key);
                 job.tasks[index].run_id = listed.run_id;
                 let phase = &job.spec.phases[usize::from(job.tasks[index].phase)];
-                let room = place::room_of(phase);
+                let room = placement::room_of(phase);
                 (
                     RunOwner::Task(job_key, index),
                     Some(room),
@@ -245,11 +245,11 @@
                 (RunOwner::Nobody { stop_at_ms }, None, 0)
             }
         };
-        let mut note = Note::job("run of previous owner found", &listed.task);
+        let mut note = LogEvent::job("run of previous owner found", &listed.task);
         note.detail = format!("adopted {}", adopted.is_some());
         let worker = &mut self.workers[key];
         note.worker = worker.record.id.to_string();
-        out.push(Command::Note(note));
+        out.push(Command::Log(note));
         worker.runs.push(Run {
             task: listed.task.clone(),
             run_id: listed.run_id,
@@ -260,7 +260,7 @@
             confirmed_ms: now_ms,
             estimate_ms: expected_ms,
             expected_ms,
-            patience: place::patience(expected_ms, 0),
+            patience: placement::patience(expected_ms, 0),
         });
         // The earlier owner may have renewed its lease just before.
         worker.lapsed_at_ms = worker.lapsed_at_ms.max(now_ms + LEASE_MAX_MS + PROBE_MS);
@@ -293,7 +293,7 @@
             if answers || worker.runs.is_empty() || now_ms < worker.lapsed_at_ms {
                 continue;
             }
-            out.push(Command::Note(Note::worker("leases expired", worker)));
+            out.push(Command::Log(LogEvent::worker("leases expired", worker)));
             worker.trust.failed(now_ms);
             // What was ordered under the present fence must not start any more.
             worker.raise();
--- a/crates/core/src/dispatch/owner/note.rs
+++ b/crates/core/src/dispatch/owner/log_event.rs
@@ -1,11 +1,11 @@
 //! Lines on decisions, as typed values; the shell writes them.
 
-use super::Answered;
+use super::OrderResult;
 use crate::dispatch::worker::Worker;
 
 /// What a note is about.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum About {
+pub enum LogTopic {
     /// Jobs, their runs, workers: many.
     #[default]
     Work,
@@ -15,9 +15,9 @@
 
 /// One decision or change of belief.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Note {
+pub struct LogEvent {
     /// What it is about.
-    pub about: About,
+    pub topic: LogTopic,
     /// What happened.
     pub event: &'static str,
     /// The job, or the task that names it; empty where none is concerned.
@@ -30,7 +30,7 @@
     pub detail: String,
 }
 
-impl Note {
+impl LogEvent {
     /// A change of belief about a worker.
     pub fn worker(event: &'static str, worker: &Worker) -> Self {
         Self {
@@ -44,7 +44,7 @@
     /// A change of belief about the whole pool.
     pub fn pool(event: &'static str, detail: String) -> Self {
         Self {
-            about: About::Pool,
+            topic: LogTopic::Pool,
             event,
             detail,
             ..Self::default()
@@ -61,7 +61,7 @@
     }
 
     /// What became of an order for a run.
-    pub fn run(event: &'static str, worker: &Worker, answer: &Answered) -> Self {
+    pub fn run(event: &'static str, worker: &Worker, answer: &OrderResult) -> Self {
         Self {
             event,
             subject: answer.task.to_string(),
--- a/crates/core/src/dispatch/owner/answers.rs
+++ b/crates/core/src/dispatch/owner/order_results.rs
@@ -1,14 +1,14 @@
 //! What became of starts and stops.
 //!
 //! A rejected order was not carried out; an order without an answer may have
-//! been, or may be yet (see [`holds`]); a refused fence ends
+//! been, or may be yet (see [`lease_renewal`]); a refused fence ends
 //! ownership, unless the order was outranked by a later one of this owner.
 
 use super::*;
 
 impl Owner {
     /// Takes in what became of a start.
-    pub fn start_answered(&mut self, now_ms: u64, answer: &Answered, out: &mut Vec<Command>) {
+    pub fn on_start_result(&mut self, now_ms: u64, answer: &OrderResult, out: &mut Vec<Command>) {
         if !answer.fence.same_ownership(self.fence) {
             return;
         }
@@ -33,13 +33,21 @@
             OrderOutcome::NoAnswer if newest => {
                 self.answer_times.unanswered();
                 worker.raise();
-                out.push(Command::Note(Note::run("start unanswered", worker, answer)));
+                out.push(Command::Log(LogEvent::run(
+                    "start unanswered",
+                    worker,
+                    answer,
+                )));
             }
             OrderOutcome::NoAnswer => self.answer_times.unanswered(),
             OrderOutcome::Fenced if newest => self.outranked(now_ms, answer.worker, out),
             OrderOutcome::OtherLife => self.life_over(now_ms, answer.worker, out),
             OrderOutcome::Fenced | OrderOutcome::Rejected(_) => {
-                out.push(Command::Note(Note::run("start rejected", worker, answer)));
+                out.push(Command::Log(LogEvent::run(
+                    "start rejected",
+                    worker,
+                    answer,
+                )));
                 match answer.outcome {
                     OrderOutcome::Rejected(Rejection::Unhealthy) => worker.trust.failed(now_ms),
                     OrderOutcome::Rejected(Rejection::OldRun) => self.run_seed += RUN_LEAP,
@@ -64,7 +72,7 @@
     }
 
     /// Takes in what became of a stop; the run's end is listed by a hold.
-    pub fn stop_answered(&mut self, now_ms: u64, answer: &Answered, out: &mut Vec<Command>) {
+    pub fn on_stop_result(&mut self, now_ms: u64, answer: &OrderResult, out: &mut Vec<Command>) {
         if !answer.fence.same_ownership(self.fence) {
             return;
         }
@@ -87,8 +95,8 @@
     pub(super) fn outranked(&mut self, now_ms: u64, key: WorkerKey, out: &mut Vec<Command>) {
         let worker = &mut self.workers[key];
         worker.standing = Standing::Outranked;
-        out.push(Command::Note(Note::worker("outranked", worker)));
-        out.push(Command::Outranked);
+        out.push(Command::Log(LogEvent::worker("outranked", worker)));
+        out.push(Command::Superseded);
         self.release(now_ms, out);
     }
 
@@ -102,7 +110,7 @@
             self.queue.invalidate();
         }
         self.dirty.remove(&key);
-        out.push(Command::Note(Note::worker(
+        out.push(Command::Log(LogEvent::worker(
             "worker incarnation ended",
             &worker,
         )));
--- a/crates/core/src/dispatch/owner/origins.rs
+++ b/crates/core/src/dispatch/owner/origins.rs
@@ -4,7 +4,7 @@
 
 impl Owner {
     /// An origin had its link at `alive_ms`, by its own word.
-    pub fn origin_alive(&mut self, origin: Origin, alive_ms: u64) {
+    pub fn on_origin_heartbeat(&mut self, origin: Origin, alive_ms: u64) {
         self.alive_ms.insert(origin, alive_ms);
     }
 
@@ -33,7 +33,7 @@
 
     /// The link of an origin broke. Nothing new starts for its jobs, and they
     /// end unless the origin comes back soon with another link.
-    pub fn origin_lost(&mut self, now_ms: u64, origin: Origin, out: &mut Vec<Command>) {
+    pub fn on_origin_lost(&mut self, now_ms: u64, origin: Origin, out: &mut Vec<Command>) {
         if !self.alive_ms.contains_key(&origin) {
             // Nothing tells how long its leases may go on.
             return self.origin_gone(now_ms, origin, out);
@@ -61,7 +61,7 @@
         let keys: Vec<JobKey> = self.jobs.iter().filter_map(lost).collect();
         for key in keys {
             let id = self.jobs[key].spec.id.clone();
-            out.push(Command::Note(Note::job("origin lost", &id)));
+            out.push(Command::Log(LogEvent::job("origin lost", &id)));
             self.abandon(now_ms, key, out);
         }
         self.alive_ms.remove(&origin);
--- a/crates/core/src/dispatch/owner/overdue.rs
+++ b/crates/core/src/dispatch/owner/overdue.rs
@@ -86,20 +86,20 @@
                 Due::Stop => {}
                 Due::Stalled(job, index) => stalled.push((job, index)),
             }
-            let mut note = Note::job("run overdue", &run.task);
+            let mut note = LogEvent::job("run overdue", &run.task);
             note.detail = format!("{:?} expected_ms {}", run.state, run.expected_ms);
             note.worker = worker.record.id.to_string();
-            out.push(Command::Note(note));
+            out.push(Command::Log(note));
             stop_run(now_ms, run, target.clone(), answer_ms, out);
         }
         if !stalled.is_empty() {
             worker.trust.failed(now_ms);
         }
         if let Some(task) = asked_for {
-            let mut note = Note::job("polling for completion", &task);
+            let mut note = LogEvent::job("polling for completion", &task);
             note.worker = worker.record.id.to_string();
             note.last_heard_ms = Some(now_ms - worker.heard_ms);
-            out.push(Command::Note(note));
+            out.push(Command::Log(note));
             worker.look();
         }
         for (job, index) in stalled {
--- a/crates/core/src/dispatch/owner/crashes.rs
+++ b/crates/core/src/dispatch/owner/poison_tasks.rs
@@ -80,10 +80,10 @@
         };
         let task = &mut job.tasks[index];
         task.lost_on.push(worker);
-        let mut note = Note::job("worker lost under task", &task.name);
+        let mut note = LogEvent::job("worker lost under task", &task.name);
         note.detail = format!("lost {}", task.lost_on.len());
         let is_poison = task.lost_on.len() >= CRASHES_MAX && !job.stopping;
-        out.push(Command::Note(note));
+        out.push(Command::Log(note));
         if is_poison {
             let reason = "a task crashes the workers that start it";
             self.finish(now_ms, key, Outcome::Failed, reason, out);
--- a/crates/core/src/dispatch/owner/reserve.rs
+++ b/crates/core/src/dispatch/owner/reservation.rs
@@ -8,7 +8,7 @@
 //! tasks take nothing else. Only late jobs are worth that: kept room is idle.
 
 use super::super::worker::Room;
-use super::place::{Open, room_of};
+use super::placement::{Open, room_of};
 use super::queue::{Lateness, lateness};
 use super::*;
 
--- a/crates/core/src/dispatch/owner/settings.rs
+++ b/crates/core/src/dispatch/owner/settings.rs
@@ -4,5 +4,5 @@
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Settings {
     /// Takes in every job and refuses it only once it is hopeless.
-    pub admits_all: bool,
+    pub admit_all: bool,
 }
--- a/crates/core/src/dispatch/owner/clearance.rs
+++ b/crates/core/src/dispatch/owner/start_barrier.rs
@@ -13,14 +13,14 @@
 
 /// What makes a job safe before its time.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum ClearedBy {
+pub enum StartBarrier {
     /// Nothing.
     #[default]
-    Time,
+    LeaseExpiry,
     /// It is: only this owner has had it.
-    Own,
+    None,
     /// The obedience of all workers that the predecessor may have ordered.
-    Fencing,
+    PredecessorFenced,
 }
 
 /// What is known of the ownership that this one followed.
@@ -46,12 +46,12 @@
     }
 
     /// What makes a job safe that only `holder` may have had.
-    pub(super) fn of(&self, holder: Option<&Holder>) -> ClearedBy {
+    pub(super) fn of(&self, holder: Option<&Holder>) -> StartBarrier {
         match holder {
-            None => ClearedBy::Time,
-            holder if holder == self.own.as_ref() => ClearedBy::Own,
-            holder if holder == self.predecessor.as_ref() => ClearedBy::Fencing,
-            Some(_) => ClearedBy::Time,
+            None => StartBarrier::LeaseExpiry,
+            holder if holder == self.own.as_ref() => StartBarrier::None,
+            holder if holder == self.predecessor.as_ref() => StartBarrier::PredecessorFenced,
+            Some(_) => StartBarrier::LeaseExpiry,
         }
     }
 
@@ -79,8 +79,8 @@
     }
 
     /// A roster is on its way to the store: it may hold, or the one before.
-    pub fn roster_sent(&mut self, roster: Roster) {
-        self.announced = Some(match self.announced.take() {
+    pub fn on_roster_sent(&mut self, roster: Roster) {
+        self.stored_roster = Some(match self.stored_roster.take() {
             Some(before) => before.intersection(&roster).cloned().collect(),
             None => roster,
         });
@@ -88,19 +88,19 @@
     }
 
     /// The store holds this roster.
-    pub fn roster_stored(&mut self, now_ms: u64, roster: Roster, out: &mut Vec<Command>) {
-        self.announced = Some(roster);
+    pub fn on_roster_stored(&mut self, now_ms: u64, roster: Roster, out: &mut Vec<Command>) {
+        self.stored_roster = Some(roster);
         self.mark_announced();
         self.settle(now_ms, out);
     }
 
     pub(super) fn may_use(&self, worker_id: &str) -> bool {
-        let announced = self.announced.as_ref();
+        let announced = self.stored_roster.as_ref();
         announced.is_none_or(|roster| roster.contains(worker_id))
     }
 
     fn mark_announced(&mut self) {
-        let announced = self.announced.as_ref();
+        let announced = self.stored_roster.as_ref();
         for worker in self.workers.values_mut() {
             let id = &worker.record.id;
             worker.announced = announced.is_none_or(|roster| roster.contains(id));
--- a/crates/core/src/dispatch/owner/figures.rs
+++ b/crates/core/src/dispatch/owner/stats.rs
@@ -4,9 +4,9 @@
 
 use super::*;
 
-/// Sizes of an owner's tables.
+/// Counters of an owner's tables.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Sizes {
+pub struct OwnerStats {
     /// Jobs that have not ended.
     pub jobs: usize,
     /// Jobs that wait for room.
@@ -21,7 +21,7 @@
     pub queue_sorts: u64,
 }
 
-impl std::iter::Sum for Sizes {
+impl std::iter::Sum for OwnerStats {
     fn sum<I: Iterator<Item = Self>>(sizes: I) -> Self {
         sizes.fold(Self::default(), |sum, sizes| Self {
             jobs: sum.jobs + sizes.jobs,
@@ -62,9 +62,9 @@
     }
 
     /// Counts for metrics and tests: jobs here, workers fenced, runs.
-    pub fn sizes(&self) -> Sizes {
+    pub fn stats(&self) -> OwnerStats {
         let fenced = |worker: &&Worker| worker.standing == Standing::Fenced;
-        Sizes {
+        OwnerStats {
             jobs: self.jobs.len(),
             waiting: self.waiting_jobs(),
             workers: self.workers.len(),
--- a/crates/core/tests/dispatch_admission.rs
+++ b/crates/core/tests/dispatch_admission.rs
@@ -45,7 +45,7 @@
 
 fn retry_after_ms(commands: &[Command]) -> Vec<u64> {
     let ended = commands.iter().filter_map(|command| match command {
-        Command::Ended { ending, .. } => Some(ending.retry_after_ms),
+        Command::JobEnded { result, .. } => Some(result.retry_after_ms),
         _ => None,
     });
     ended.collect()
--- a/crates/core/tests/dispatch_crashes.rs
+++ b/crates/core/tests/dispatch_crashes.rs
@@ -8,7 +8,7 @@
 use dispatch_support::orders::{LINK, answer_hold, answer_start, fenced_owner};
 use dispatch_support::{SimWorker, holds, job, record, starts, stops};
 use trefoil_core::dispatch::order::{HoldOrder, HoldOutcome, OrderOutcome, StartOrder, StopOrder};
-use trefoil_core::dispatch::owner::{Answered, Command, Owner};
+use trefoil_core::dispatch::owner::{Command, OrderResult, Owner};
 use trefoil_core::dispatch::worker::Room;
 use trefoil_schema::dispatch::Outcome;
 
@@ -87,8 +87,8 @@
             self.send(Order::Hold(hold), answer_ms);
         }
         for command in commands {
-            if let Command::Ended { ending, .. } = command {
-                self.ended.push((ending.job_id, ending.outcome));
+            if let Command::JobEnded { result, .. } = command {
+                self.ended.push((result.job_id, result.outcome));
             }
         }
     }
@@ -133,7 +133,7 @@
                 let worker = living(&stop.target.worker_id);
                 let outcome =
                     worker.map_or(OrderOutcome::NoAnswer, |worker| worker.stop(now_ms, &stop));
-                let answer = Answered {
+                let answer = OrderResult {
                     worker: stop.target.worker,
                     fence: stop.target.fence,
                     task: stop.task,
@@ -141,7 +141,7 @@
                     outcome,
                 };
                 let mut out = Vec::new();
-                self.owner.stop_answered(now_ms, &answer, &mut out);
+                self.owner.on_stop_result(now_ms, &answer, &mut out);
                 out
             }
             Order::Hold(hold) => {
--- a/crates/core/tests/dispatch_entry.rs
+++ b/crates/core/tests/dispatch_entry.rs
@@ -7,7 +7,7 @@
 use trefoil_core::dispatch::limits::{
     BEAT_MS, DELEGATED_GAP_MS, LINK_SILENT_MS, OWNER_FOLLOWS_MS, UNPLACED_MAX_MS,
 };
-use trefoil_core::dispatch::owner::Ending;
+use trefoil_core::dispatch::owner::JobResult;
 use trefoil_schema::dispatch::{Claim, Load, Node, Outcome};
 
 const FAR_MS: u64 = 1_000_000;
@@ -33,8 +33,8 @@
     }
 }
 
-fn ending(job_id: &str, outcome: Outcome) -> Ending {
-    Ending {
+fn ending(job_id: &str, outcome: Outcome) -> JobResult {
+    JobResult {
         job_id: job_id.to_owned(),
         outcome,
         retry_after_ms: 0,
@@ -205,7 +205,7 @@
 
 fn refused(entry: &mut Entry, now_ms: u64, pool: &str, owner: &str, id: &str) -> Vec<Command> {
     let mut out = Vec::new();
-    let ending = Ending {
+    let ending = JobResult {
         retry_after_ms: 2500,
         ..ending(id, Outcome::NotRun)
     };
--- a/crates/core/tests/dispatch_history/events.rs
+++ b/crates/core/tests/dispatch_history/events.rs
@@ -5,7 +5,7 @@
 use trefoil_core::dispatch::order::{
     HoldOrder, HoldOutcome, OrderOutcome, StartOrder, StopOrder, Target,
 };
-use trefoil_core::dispatch::owner::Answered;
+use trefoil_core::dispatch::owner::OrderResult;
 use trefoil_core::dispatch::ownership::Roster;
 use trefoil_schema::dispatch::Holder;
 
@@ -119,8 +119,8 @@
     target.worker_id.to_string()
 }
 
-pub fn answered(target: Target, task: Arc<str>, run_id: u64, outcome: OrderOutcome) -> Answered {
-    Answered {
+pub fn answered(target: Target, task: Arc<str>, run_id: u64, outcome: OrderOutcome) -> OrderResult {
+    OrderResult {
         worker: target.worker,
         fence: target.fence,
         task,
--- a/crates/core/tests/dispatch_history/main.rs
+++ b/crates/core/tests/dispatch_history/main.rs
@@ -32,11 +32,11 @@
     }
     for number in 0..WORKERS + ADDED {
         let clock_from_ms = choices.int_in_range(0..=100_000)?;
-        let takes_ms = choices.int_in_range(30..=900)?;
+        let task_ms = choices.int_in_range(30..=900)?;
         workers.push(SimWorker::new(
             &format!("w{number}"),
             clock_from_ms,
-            takes_ms,
+            task_ms,
         ));
     }
     let mut history = History {
--- a/crates/core/tests/dispatch_history/world.rs
+++ b/crates/core/tests/dispatch_history/world.rs
@@ -112,11 +112,11 @@
             match command {
                 Command::Start(order) => self.send(owner, Order::Start(order))?,
                 Command::Stop(order) => self.send(owner, Order::Stop(order))?,
-                Command::Hold(order) => self.send(owner, Order::Hold(order))?,
-                Command::Ended { ending, .. } => {
-                    self.ended(owner, &ending.job_id, ending.outcome);
+                Command::Renew(order) => self.send(owner, Order::Hold(order))?,
+                Command::JobEnded { result, .. } => {
+                    self.ended(owner, &result.job_id, result.outcome);
                 }
-                Command::Outranked | Command::Note(_) => {}
+                Command::Superseded | Command::Log(_) => {}
             }
         }
         Ok(())
@@ -238,26 +238,26 @@
         let present = owner + 1 == self.owners.len();
         let actor = &mut self.owners[owner];
         if present {
-            actor.origin_alive(ENTRY, now_ms);
+            actor.on_origin_heartbeat(ENTRY, now_ms);
         }
         match event {
             Event::Start { order, outcome, .. } => {
                 let answer = answered(order.target, order.task, order.run_id, outcome);
-                actor.start_answered(now_ms, &answer, &mut out);
+                actor.on_start_result(now_ms, &answer, &mut out);
             }
             Event::Stop { order, outcome, .. } => {
                 let answer = answered(order.target, order.task, order.run_id, outcome);
-                actor.stop_answered(now_ms, &answer, &mut out);
+                actor.on_stop_result(now_ms, &answer, &mut out);
             }
             Event::Hold { order, outcome, .. } => {
                 let (worker, fence) = (order.target.worker, order.target.fence);
-                actor.hold_answered(now_ms, worker, fence, order.number, outcome, &mut out);
+                actor.on_renew_result(now_ms, worker, fence, order.number, outcome, &mut out);
             }
             Event::Tick { .. } => {
                 actor.tick(now_ms, &mut out);
                 self.at(now_ms + TICK_MS, Event::Tick { owner });
             }
-            Event::Notice { .. } => actor.origin_lost(now_ms, ENTRY, &mut out),
+            Event::Notice { .. } => actor.on_origin_lost(now_ms, ENTRY, &mut out),
             Event::Registry { .. } => {
                 let listed = self.workers.iter().zip(&self.added_ms);
                 let listed = listed.filter(|(_, added_ms)| **added_ms <= now_ms);
@@ -275,10 +275,10 @@
             }
             Event::SendRoster { .. } => {
                 let roster = actor.roster();
-                actor.roster_sent(roster.clone());
+                actor.on_roster_sent(roster.clone());
                 self.send_roster(owner, roster)?;
             }
-            Event::RosterStored { roster, .. } => actor.roster_stored(now_ms, roster, &mut out),
+            Event::RosterStored { roster, .. } => actor.on_roster_stored(now_ms, roster, &mut out),
             Event::Arrive { .. }
             | Event::Submit { .. }
             | Event::Resize { .. }
@@ -454,7 +454,7 @@
     fn check(&mut self) {
         let mut running: BTreeMap<String, usize> = BTreeMap::new();
         for worker in &mut self.workers {
-            worker.pass(self.now_ms);
+            worker.advance(self.now_ms);
             assert!(
                 worker.runs.len() <= 2,
                 "over capacity at {} ms",
--- a/crates/core/tests/dispatch_origin.rs
+++ b/crates/core/tests/dispatch_origin.rs
@@ -17,7 +17,7 @@
 #[test]
 fn a_lease_ends_with_the_origins_last_echo_however_late_the_loss_is_noticed() {
     let mut owner = fenced_owner(1, &["w1"]);
-    owner.origin_alive(LINK, 0);
+    owner.on_origin_heartbeat(LINK, 0);
     let started = starts(&delegate(&mut owner, 10, "a", 1));
     let clock_ms = 50_010;
     let out = answer_start(&mut owner, 12, &started[0], OrderOutcome::Done { clock_ms });
@@ -42,7 +42,7 @@
     let out = answer_start(&mut owner, 12, &started[0], OrderOutcome::Done { clock_ms });
     let hold = holds(&out)[0].clone();
     let mut out = Vec::new();
-    owner.origin_lost(20, LINK, &mut out);
+    owner.on_origin_lost(20, LINK, &mut out);
     assert_eq!(stops(&out).len(), 1);
     // It comes again while its run is being stopped: nothing starts yet.
     let mut out = Vec::new();
@@ -57,14 +57,14 @@
 #[test]
 fn an_origin_that_comes_back_by_another_link_finds_its_job_at_work() {
     let mut owner = fenced_owner(1, &["w1"]);
-    owner.origin_alive(LINK, 9);
+    owner.on_origin_heartbeat(LINK, 9);
     let started = starts(&delegate(&mut owner, 10, "a", 2));
     let clock_ms = 50_010;
     let out = answer_start(&mut owner, 12, &started[0], OrderOutcome::Done { clock_ms });
     answer_start(&mut owner, 12, &started[1], OrderOutcome::Done { clock_ms });
     let first_hold = holds(&out)[0].clone();
     let mut out = Vec::new();
-    owner.origin_lost(20, LINK, &mut out);
+    owner.on_origin_lost(20, LINK, &mut out);
     owner.tick(19 + RESUME_MS, &mut out);
     // Meanwhile the worker may have been asked what became of the runs.
     let hold = &holds(&out).pop().unwrap_or(first_hold);
@@ -86,7 +86,7 @@
 #[test]
 fn nothing_starts_for_an_origin_that_is_away_and_its_runs_are_stopped_in_time() {
     let mut owner = fenced_owner(1, &["w1"]);
-    owner.origin_alive(LINK, 9);
+    owner.on_origin_heartbeat(LINK, 9);
     // The worker takes two tasks at once, so one waits.
     let started = starts(&delegate(&mut owner, 10, "a", 3));
     assert_eq!(started.len(), 2);
@@ -95,7 +95,7 @@
     answer_start(&mut owner, 12, &started[1], OrderOutcome::Done { clock_ms });
     let hold = &holds(&out)[0];
     let mut out = Vec::new();
-    owner.origin_lost(20, LINK, &mut out);
+    owner.on_origin_lost(20, LINK, &mut out);
     let still = ListedRun {
         task: started[1].task.clone(),
         run_id: started[1].run_id,
@@ -132,7 +132,7 @@
     // The order arrives late, as its lease allows ...
     let outcome = worker.start(START_LEASE_MS - 50, &started[0]);
     assert!(matches!(outcome, OrderOutcome::Done { .. }));
-    worker.pass(10 + START_LEASE_MS * 102 / 100 + 20);
+    worker.advance(10 + START_LEASE_MS * 102 / 100 + 20);
     assert!(worker.runs.is_empty());
     // ... or later than that.
     let mut worker = SimWorker::new("w1", 50_000, 5000);
--- a/crates/core/tests/dispatch_owner.rs
+++ b/crates/core/tests/dispatch_owner.rs
@@ -143,7 +143,7 @@
     // The keys of both tables are the same; the fences are not.
     let out = answer_start(&mut owner, 12, &started[0], OrderOutcome::OtherLife);
     assert!(out.is_empty());
-    assert_eq!(owner.sizes().workers_fenced, 1);
+    assert_eq!(owner.stats().workers_fenced, 1);
 }
 
 #[test]
@@ -191,7 +191,7 @@
     let out = answer_start(&mut owner, 12, &started[0], OrderOutcome::Fenced);
     assert!(
         out.iter()
-            .any(|command| matches!(command, Command::Outranked))
+            .any(|command| matches!(command, Command::Superseded))
     );
     assert_eq!(ended(&out), [("a".to_owned(), Outcome::Lost)]);
     assert!(starts(&delegate(&mut owner, 13, "b", 1)).is_empty());
@@ -254,7 +254,7 @@
         worker.start(10, &order),
         OrderOutcome::Done { .. }
     ));
-    worker.pass(120);
+    worker.advance(120);
     assert!(worker.runs.is_empty());
     let outcome = worker.start(121, &order);
     assert_eq!(outcome, OrderOutcome::Rejected(Rejection::OldRun));
@@ -328,12 +328,12 @@
     for number in 0..100 {
         delegate(&mut owner, 11, &format!("waits{number}"), 4);
     }
-    let before = owner.sizes().queue_sorts;
+    let before = owner.stats().queue_sorts;
     let outcome = OrderOutcome::Done { clock_ms: 50_010 };
     for _ in 0..100 {
         answer_start(&mut owner, 12, &started[0], outcome);
     }
-    assert_eq!(owner.sizes().queue_sorts, before);
+    assert_eq!(owner.stats().queue_sorts, before);
 }
 
 #[test]
--- a/crates/core/tests/dispatch_registry.rs
+++ b/crates/core/tests/dispatch_registry.rs
@@ -70,7 +70,7 @@
 fn a_worker_that_no_stored_roster_names_gets_nothing() {
     // A successor would not know that it has to fence it.
     let mut owner = fenced_owner(1, &["w1"]);
-    owner.roster_sent(owner.roster());
+    owner.on_roster_sent(owner.roster());
     let mut out = Vec::new();
     owner.set_workers(5, vec![record("w1"), record("w2")], &mut out);
     answer_hold(&mut owner, 6, &holds(&out)[0], held(vec![], vec![]));
@@ -78,10 +78,10 @@
     assert_eq!(started.len(), 2, "w1 has room for two");
     assert!(started.iter().all(|start| &*start.target.worker_id == "w1"));
     let roster = owner.roster();
-    owner.roster_sent(roster.clone());
+    owner.on_roster_sent(roster.clone());
     assert!(starts(&delegate(&mut owner, 20, "b", 1)).is_empty());
     let mut out = Vec::new();
-    owner.roster_stored(30, roster, &mut out);
+    owner.on_roster_stored(30, roster, &mut out);
     assert_eq!(starts(&out).len(), 2);
 }
 
@@ -111,7 +111,7 @@
     owner.tick(300, &mut out);
     answer_hold(&mut owner, 302, &holds(&out)[0], held(vec![], vec![]));
     owner.tick(201 + REGISTRY_GAP_MS, &mut Vec::new());
-    assert_eq!(owner.sizes().workers, 0, "it has left the table");
+    assert_eq!(owner.stats().workers, 0, "it has left the table");
     let mut out = Vec::new();
     owner.set_workers(5000, vec![record("w1")], &mut out);
     assert!(holds(&out)[0].target.fence >= raised.target.fence);
--- a/crates/core/tests/dispatch_support/mod.rs
+++ b/crates/core/tests/dispatch_support/mod.rs
@@ -74,7 +74,7 @@
 /// An owner in a term that knows nothing of the owner before it.
 pub fn owner(term: u64) -> Owner {
     let fence = Fence::new(term, "entry-1");
-    Owner::new(POOL, fence, term * 100_000).following(Some(holder(term)), None)
+    Owner::new(POOL, fence, term * 100_000).with_predecessor(Some(holder(term)), None)
 }
 
 /// An owner in a term; the one of the term before used these workers.
@@ -85,7 +85,7 @@
         roster: used.iter().map(|&id| Arc::from(id)).collect(),
     };
     let owner = Owner::new(POOL, fence, term * 100_000);
-    owner.following(Some(holder(term)), Some(predecessor))
+    owner.with_predecessor(Some(holder(term)), Some(predecessor))
 }
 
 /// A run on a [`SimWorker`].
@@ -106,7 +106,7 @@
     /// What runs there.
     pub runs: Vec<SimRun>,
     /// How long each task takes.
-    pub takes_ms: u64,
+    pub task_ms: u64,
     fence: u64,
     over: Vec<(Arc<str>, u64)>,
     ended: Vec<ListedEnd>,
@@ -117,11 +117,11 @@
 
 impl SimWorker {
     /// An empty worker whose clock stood at `clock_from_ms` at time zero.
-    pub fn new(id: &str, clock_from_ms: u64, takes_ms: u64) -> Self {
+    pub fn new(id: &str, clock_from_ms: u64, task_ms: u64) -> Self {
         Self {
             record: record(id),
             runs: Vec::new(),
-            takes_ms,
+            task_ms,
             fence: 0,
             over: Vec::new(),
             ended: Vec::new(),
@@ -137,7 +137,7 @@
     }
 
     /// Ends what is done or whose lease has lapsed.
-    pub fn pass(&mut self, now_ms: u64) {
+    pub fn advance(&mut self, now_ms: u64) {
         let lapsed = self.clock_ms(now_ms) > self.lease_ms;
         let runs = std::mem::take(&mut self.runs);
         for run in runs {
@@ -177,7 +177,7 @@
 
     /// Carries out a start.
     pub fn start(&mut self, now_ms: u64, order: &StartOrder) -> OrderOutcome {
-        self.pass(now_ms);
+        self.advance(now_ms);
         if !self.obeys(order.target.fence) {
             return OrderOutcome::Fenced;
         }
@@ -195,7 +195,7 @@
             self.runs.push(SimRun {
                 task: order.task.clone(),
                 run_id: order.run_id,
-                ends_ms: now_ms + self.takes_ms,
+                ends_ms: now_ms + self.task_ms,
             });
         }
         OrderOutcome::Done { clock_ms }
@@ -203,7 +203,7 @@
 
     /// Carries out a stop.
     pub fn stop(&mut self, now_ms: u64, order: &StopOrder) -> OrderOutcome {
-        self.pass(now_ms);
+        self.advance(now_ms);
         if !self.obeys(order.target.fence) {
             return OrderOutcome::Fenced;
         }
@@ -222,7 +222,7 @@
 
     /// Answers a hold at once.
     pub fn hold(&mut self, now_ms: u64, order: &HoldOrder) -> HoldOutcome {
-        self.pass(now_ms);
+        self.advance(now_ms);
         if !self.obeys(order.target.fence) {
             return HoldOutcome::Fenced;
         }
@@ -257,7 +257,7 @@
 /// The holds among commands.
 pub fn holds(commands: &[Command]) -> Vec<HoldOrder> {
     let holds = commands.iter().filter_map(|command| match command {
-        Command::Hold(order) => Some(order.clone()),
+        Command::Renew(order) => Some(order.clone()),
         _ => None,
     });
     holds.collect()
--- a/crates/core/tests/dispatch_support/orders.rs
+++ b/crates/core/tests/dispatch_support/orders.rs
@@ -4,7 +4,7 @@
 use trefoil_core::dispatch::order::{
     EndKind, HoldOrder, HoldOutcome, ListedEnd, ListedRun, OrderOutcome, StartOrder,
 };
-use trefoil_core::dispatch::owner::{Answered, Command, Owner};
+use trefoil_core::dispatch::owner::{Command, OrderResult, Owner};
 use trefoil_schema::dispatch::Outcome;
 
 use super::{holds, job, owner, record};
@@ -27,7 +27,7 @@
 ) -> Vec<Command> {
     let mut out = Vec::new();
     let (worker, fence) = (order.target.worker, order.target.fence);
-    owner.hold_answered(now_ms, worker, fence, order.number, outcome, &mut out);
+    owner.on_renew_result(now_ms, worker, fence, order.number, outcome, &mut out);
     out
 }
 
@@ -37,7 +37,7 @@
     order: &StartOrder,
     outcome: OrderOutcome,
 ) -> Vec<Command> {
-    let answer = Answered {
+    let answer = OrderResult {
         worker: order.target.worker,
         fence: order.target.fence,
         task: order.task.clone(),
@@ -45,7 +45,7 @@
         outcome,
     };
     let mut out = Vec::new();
-    owner.start_answered(now_ms, &answer, &mut out);
+    owner.on_start_result(now_ms, &answer, &mut out);
     out
 }
 
@@ -68,7 +68,7 @@
 
 pub fn ended(commands: &[Command]) -> Vec<(String, Outcome)> {
     let ended = commands.iter().filter_map(|command| match command {
-        Command::Ended { ending, .. } => Some((ending.job_id.clone(), ending.outcome)),
+        Command::JobEnded { result, .. } => Some((result.job_id.clone(), result.outcome)),
         _ => None,
     });
     ended.collect()
--- a/crates/instance/src/instance.rs
+++ b/crates/instance/src/instance.rs
@@ -331,7 +331,7 @@
 
     fn measure(&self) {
         let state = self.state.borrow();
-        let sizes = state.owners.values().map(Owner::sizes);
+        let sizes = state.owners.values().map(Owner::stats);
         self.metrics.sizes(state.entry.len(), sizes.sum());
         self.metrics.closed(state.is_closed());
         self.metrics.unreadable(self.edge.unreadable_entries());
--- a/crates/instance/src/instance/calls.rs
+++ b/crates/instance/src/instance/calls.rs
@@ -4,7 +4,7 @@
 use std::time::Instant;
 
 use trefoil_core::dispatch::order::{HoldOrder, OrderOutcome, StartOrder, StopOrder, Target};
-use trefoil_core::dispatch::owner::Answered;
+use trefoil_core::dispatch::owner::OrderResult;
 use trefoil_core::dispatch::ownership::ClaimRecord;
 
 use super::*;
@@ -21,7 +21,7 @@
             instance.metrics.start_answer_ms.observe(elapsed_ms(sent));
             let answer = answered(order.target, order.task, order.run_id, outcome);
             instance.with_owner(&pool, |owner, now_ms, out| {
-                owner.start_answered(now_ms, &answer, out)
+                owner.on_start_result(now_ms, &answer, out)
             });
         });
     }
@@ -35,7 +35,7 @@
             let outcome = instance.edge.stop(&order).await;
             let answer = answered(order.target, order.task, order.run_id, outcome);
             instance.with_owner(&pool, |owner, now_ms, out| {
-                owner.stop_answered(now_ms, &answer, out)
+                owner.on_stop_result(now_ms, &answer, out)
             });
         });
     }
@@ -48,7 +48,7 @@
             let (worker, fence) = (order.target.worker, order.target.fence);
             let number = order.number;
             instance.with_owner(&pool, |owner, now_ms, out| {
-                owner.hold_answered(now_ms, worker, fence, number, outcome, out);
+                owner.on_renew_result(now_ms, worker, fence, number, outcome, out);
             });
         });
     }
@@ -80,8 +80,8 @@
     }
 }
 
-fn answered(target: Target, task: Arc<str>, run_id: u64, outcome: OrderOutcome) -> Answered {
-    Answered {
+fn answered(target: Target, task: Arc<str>, run_id: u64, outcome: OrderOutcome) -> OrderResult {
+    OrderResult {
         worker: target.worker,
         fence: target.fence,
         task,
--- a/crates/instance/src/instance/effects.rs
+++ b/crates/instance/src/instance/effects.rs
@@ -6,7 +6,7 @@
 use std::collections::VecDeque;
 
 use trefoil_core::dispatch::entry::Cause;
-use trefoil_core::dispatch::owner::{About, Note};
+use trefoil_core::dispatch::owner::{LogEvent, LogTopic};
 use trefoil_core::dispatch::ownership::{Predecessor, Roster, holder_of};
 
 use super::*;
@@ -104,43 +104,43 @@
         match command {
             owner::Command::Start(order) => self.send_start(pool, order),
             owner::Command::Stop(order) => self.send_stop(pool, order),
-            owner::Command::Hold(order) => self.send_hold(pool, order),
-            owner::Command::Ended {
+            owner::Command::Renew(order) => self.send_hold(pool, order),
+            owner::Command::JobEnded {
                 origin,
-                ending,
+                result,
                 reason,
             } => {
-                info!(self.log, #ON_WORK, "job ended"; "job" => &ending.job_id, "pool" => &pool,
-                    "outcome" => ?ending.outcome, "reason" => reason,
-                    "retry_after_ms" => ending.retry_after_ms);
+                info!(self.log, #ON_WORK, "job ended"; "job" => &result.job_id, "pool" => &pool,
+                    "outcome" => ?result.outcome, "reason" => reason,
+                    "retry_after_ms" => result.retry_after_ms);
                 match origin {
                     Origin::Local => {
                         let owner = self.me.name.clone();
                         let from = Owned { pool, owner };
                         let out = &mut effects.entry;
                         let mut state = self.state.borrow_mut();
-                        state.entry.ended(self.now_ms(), &from, &ending, out);
+                        state.entry.ended(self.now_ms(), &from, &result, out);
                     }
-                    Origin::Link(link) => self.send_ended(link, pool, ending, reason),
+                    Origin::Link(link) => self.send_ended(link, pool, result, reason),
                 }
             }
-            owner::Command::Outranked => {
+            owner::Command::Superseded => {
                 let mut state = self.state.borrow_mut();
                 let out = &mut effects.ownership;
                 state.ownership.outranked(self.now_ms(), &pool, out);
                 self.store_poke.notify_waiters();
             }
-            owner::Command::Note(note) => self.write_note(&pool, note),
+            owner::Command::Log(note) => self.write_note(&pool, note),
         }
         effects
     }
 
-    fn write_note(&self, pool: &str, note: Note) {
-        match note.about {
-            About::Work => info!(self.log, #ON_WORK, "{}", note.event;
+    fn write_note(&self, pool: &str, note: LogEvent) {
+        match note.topic {
+            LogTopic::Work => info!(self.log, #ON_WORK, "{}", note.event;
                 "task" => note.subject, "worker" => note.worker,
                 "last_heard_ms" => note.last_heard_ms, "detail" => note.detail),
-            About::Pool => info!(self.log, "{}", note.event;
+            LogTopic::Pool => info!(self.log, "{}", note.event;
                 "pool" => pool, "detail" => note.detail),
         }
     }
@@ -159,13 +159,13 @@
             }
             ownership::Command::RosterSent { pool, roster } => {
                 let mut state = self.state.borrow_mut();
-                state.with_owner(&pool, &mut effects, |owner, _| owner.roster_sent(roster));
+                state.with_owner(&pool, &mut effects, |owner, _| owner.on_roster_sent(roster));
             }
             ownership::Command::RosterStored { pool, roster } => {
                 let now_ms = self.now_ms();
                 let mut state = self.state.borrow_mut();
                 state.with_owner(&pool, &mut effects, |owner, out| {
-                    owner.roster_stored(now_ms, roster, out);
+                    owner.on_roster_stored(now_ms, roster, out);
                 });
             }
             ownership::Command::Released(pool) => self.released(pool, &mut effects),
@@ -189,7 +189,7 @@
             "workers_of_predecessor" => roster);
         let fence = Fence::new(claim.term, &self.me.name);
         let owner = Owner::new(&claim.pool, fence, unix_ms());
-        let mut owner = owner.following(holder_of(claim), predecessor);
+        let mut owner = owner.with_predecessor(holder_of(claim), predecessor);
         owner.await_declarations();
         let mut state = self.state.borrow_mut();
         state.owners.insert(claim.pool.clone(), owner);
--- a/crates/instance/src/instance/frames.rs
+++ b/crates/instance/src/instance/frames.rs
@@ -6,7 +6,7 @@
 };
 
 use trefoil_core::dispatch::entry::Cause;
-use trefoil_core::dispatch::owner::Ending;
+use trefoil_core::dispatch::owner::JobResult;
 
 use super::peers::encode;
 use super::*;
@@ -41,7 +41,7 @@
                     });
                 }
                 Body::Ended(ended) => {
-                    let ending = Ending {
+                    let result = JobResult {
                         job_id: ended.job_id,
                         outcome: outcome_of(ended.outcome),
                         retry_after_ms: ended.retry_after_ms,
@@ -49,7 +49,7 @@
                     let pool = ended.pool;
                     let from = Owned { pool, owner: name };
                     let out = &mut effects.entry;
-                    state.entry.ended(now_ms, &from, &ending, out);
+                    state.entry.ended(now_ms, &from, &result, out);
                 }
                 Body::ConfigRequest(request) => {
                     self.send_declarations(state, id, request.revision);
@@ -73,14 +73,14 @@
         let pool = delegate.pool.clone();
         let origin = Origin::Link(id);
         if !state.delegate(origin, delegate, now_ms, effects) {
-            let ending = Ending {
+            let result = JobResult {
                 job_id: job_id.unwrap_or_default(),
                 outcome: Outcome::Returned,
                 retry_after_ms: 0,
             };
-            let ended = owner::Command::Ended {
+            let ended = owner::Command::JobEnded {
                 origin,
-                ending,
+                result,
                 reason: "this instance does not own the pool",
             };
             effects.owner.push((pool, ended));
@@ -107,7 +107,7 @@
         // What the peer echoes it has got over this very link.
         if beat.echo_ms > 0 {
             for owner in state.owners.values_mut() {
-                owner.origin_alive(Origin::Link(id), beat.echo_ms);
+                owner.on_origin_heartbeat(Origin::Link(id), beat.echo_ms);
             }
         }
         state.ownership.heard(&name, beat.leaving);
@@ -225,16 +225,16 @@
         }
     }
 
-    pub(super) fn send_ended(&self, link: u64, pool: String, ending: Ending, reason: &str) {
+    pub(super) fn send_ended(&self, link: u64, pool: String, result: JobResult, reason: &str) {
         let state = self.state.borrow();
         if let Some(link) = state.peers.links.get(&link) {
             // A link that is down takes its jobs back anyway.
             link.sender.send(encode(Body::Ended(Ended {
-                job_id: ending.job_id,
-                outcome: ending.outcome.into(),
+                job_id: result.job_id,
+                outcome: result.outcome.into(),
                 reason: reason.to_owned(),
                 pool,
-                retry_after_ms: ending.retry_after_ms,
+                retry_after_ms: result.retry_after_ms,
             })));
         }
     }
--- a/crates/instance/src/instance/peers.rs
+++ b/crates/instance/src/instance/peers.rs
@@ -245,7 +245,7 @@
         info!(self.log, "link down"; "peer" => &name, "cause" => ?end, "side" => ?link.retirement.side(),
             "last_heard_ms" => now_ms.saturating_sub(link.heard_ms));
         state.each_owner(effects, |owner, out| {
-            owner.origin_lost(now_ms, Origin::Link(id), out);
+            owner.on_origin_lost(now_ms, Origin::Link(id), out);
         });
         let is_last = state.peers.links_to(&name).next().is_none();
         if end == LinkEnd::Retired {
--- a/crates/instance/src/instance/stop.rs
+++ b/crates/instance/src/instance/stop.rs
@@ -55,7 +55,7 @@
             let now_ms = self.now_ms();
             let idle = {
                 let state = self.state.borrow();
-                let owned = state.owners.values().map(|owner| owner.sizes().jobs);
+                let owned = state.owners.values().map(|owner| owner.stats().jobs);
                 state.entry.is_empty() && owned.sum::<usize>() == 0
             };
             if idle && now_ms >= since_ms + BALANCER_MS {
--- a/crates/instance/src/metrics.rs
+++ b/crates/instance/src/metrics.rs
@@ -4,7 +4,7 @@
     Encoder, Histogram, HistogramOpts, IntCounter, IntCounterVec, IntGauge, Opts, Registry,
     TextEncoder,
 };
-use trefoil_core::dispatch::owner::Sizes;
+use trefoil_core::dispatch::owner::OwnerStats;
 
 /// Bounds of latency histograms, milliseconds: from a call inside a failure
 /// domain to the longest job.
@@ -97,7 +97,7 @@
     }
 
     /// Notes the sizes of the tables.
-    pub fn sizes(&self, jobs_awaited: usize, owned: Sizes) {
+    pub fn sizes(&self, jobs_awaited: usize, owned: OwnerStats) {
         self.jobs_awaited.set(jobs_awaited as i64);
         self.jobs_owned.set(owned.jobs as i64);
         self.jobs_waiting.set(owned.waiting as i64);
--- a/crates/replay/examples/owner_rate.rs
+++ b/crates/replay/examples/owner_rate.rs
@@ -86,7 +86,7 @@
     let mut out = Vec::new();
     owner.set_workers(0, records.collect(), &mut out);
     for command in out {
-        if let Command::Hold(order) = command {
+        if let Command::Renew(order) = command {
             let held = HoldOutcome::Held {
                 clock_ms: 1,
                 running: Vec::new(),
@@ -94,7 +94,7 @@
             };
             let (worker, fence) = (order.target.worker, order.target.fence);
             let number = order.number;
-            owner.hold_answered(1, worker, fence, number, held, &mut Vec::new());
+            owner.on_renew_result(1, worker, fence, number, held, &mut Vec::new());
         }
     }
     owner
--- a/crates/replay/src/bin/trefoil-replay.rs
+++ b/crates/replay/src/bin/trefoil-replay.rs
@@ -12,7 +12,7 @@
 use trefoil_replay::{arrivals, bound, world};
 
 /// Every job is admitted, and refused only once it is hopeless.
-const ADMITS_ALL: Settings = Settings { admits_all: true };
+const ADMITS_ALL: Settings = Settings { admit_all: true };
 
 fn main() -> Result<(), Box<dyn Error>> {
     let matches = command().get_matches();
--- a/crates/replay/src/world.rs
+++ b/crates/replay/src/world.rs
@@ -19,7 +19,7 @@
 use trefoil_core::dispatch::order::{
     EndKind, HoldOrder, HoldOutcome, StartOrder, StopOrder, WorkerKey,
 };
-use trefoil_core::dispatch::owner::{self, Answered, Owner};
+use trefoil_core::dispatch::owner::{self, OrderResult, Owner};
 use trefoil_core::dispatch::worker::WorkerRecord;
 use trefoil_schema::dispatch::{Claim, Job, Node};
 use xxhash_rust::xxh3::xxh3_64;
@@ -63,7 +63,7 @@
     Ended {
         entry: usize,
         pool: usize,
-        ending: owner::Ending,
+        result: owner::JobResult,
     },
     Start {
         pool: usize,
@@ -79,11 +79,11 @@
     },
     StartAnswer {
         pool: usize,
-        answered: Answered,
+        answered: OrderResult,
     },
     StopAnswer {
         pool: usize,
-        answered: Answered,
+        answered: OrderResult,
     },
     HoldAnswer {
         pool: usize,
@@ -273,21 +273,21 @@
             Event::Ended {
                 entry,
                 pool,
-                ending,
+                result,
             } => {
                 let from = self.owned(pool);
                 self.with_entry(entry, |entry, now_ms, out| {
-                    entry.ended(now_ms, &from, &ending, out);
+                    entry.ended(now_ms, &from, &result, out);
                 });
             }
             Event::Start { pool, order } => self.start(pool, order),
             Event::Stop { pool, order } => self.stop(pool, order),
             Event::Hold { pool, order } => self.hold(pool, order),
             Event::StartAnswer { pool, answered } => self.with_owner(pool, |owner, now_ms, out| {
-                owner.start_answered(now_ms, &answered, out);
+                owner.on_start_result(now_ms, &answered, out);
             }),
             Event::StopAnswer { pool, answered } => self.with_owner(pool, |owner, now_ms, out| {
-                owner.stop_answered(now_ms, &answered, out);
+                owner.on_stop_result(now_ms, &answered, out);
             }),
             Event::HoldAnswer {
                 pool,
@@ -296,7 +296,7 @@
                 number,
                 outcome,
             } => self.with_owner(pool, |owner, now_ms, out| {
-                owner.hold_answered(now_ms, worker, fence, number, outcome, out);
+                owner.on_renew_result(now_ms, worker, fence, number, outcome, out);
             }),
             Event::RunEnds {
                 worker,
@@ -433,21 +433,21 @@
         match command {
             owner::Command::Start(order) => self.after(PATH_MS, Event::Start { pool, order }),
             owner::Command::Stop(order) => self.after(PATH_MS, Event::Stop { pool, order }),
-            owner::Command::Hold(order) => self.after(PATH_MS, Event::Hold { pool, order }),
-            owner::Command::Ended {
+            owner::Command::Renew(order) => self.after(PATH_MS, Event::Hold { pool, order }),
+            owner::Command::JobEnded {
                 origin: Origin::Link(entry),
-                ending,
+                result,
                 ..
             } => {
                 let ended = Event::Ended {
                     entry: entry as usize,
                     pool,
-                    ending,
+                    result,
                 };
                 self.after(PATH_MS, ended);
             }
-            owner::Command::Ended { .. } => {}
-            owner::Command::Outranked | owner::Command::Note(_) => {}
+            owner::Command::JobEnded { .. } => {}
+            owner::Command::Superseded | owner::Command::Log(_) => {}
         }
     }
 
--- a/crates/replay/src/world/orders.rs
+++ b/crates/replay/src/world/orders.rs
@@ -4,7 +4,7 @@
 use trefoil_core::dispatch::order::{
     EndKind, HoldOrder, HoldOutcome, OrderOutcome, Rejection, StartOrder, StopOrder,
 };
-use trefoil_core::dispatch::owner::Answered;
+use trefoil_core::dispatch::owner::OrderResult;
 
 use super::{Event, PATH_MS, World};
 use crate::worker::WaitingHold;
@@ -58,7 +58,7 @@
         if self.workers[worker].end(&order.task, order.run_id, EndKind::Stopped) {
             self.answer_waiting(worker);
         }
-        let answered = Answered {
+        let answered = OrderResult {
             worker: order.target.worker,
             fence: order.target.fence,
             task: order.task,
@@ -112,8 +112,8 @@
     }
 }
 
-fn answered_start(order: &StartOrder, outcome: OrderOutcome) -> Answered {
-    Answered {
+fn answered_start(order: &StartOrder, outcome: OrderOutcome) -> OrderResult {
+    OrderResult {
         worker: order.target.worker,
         fence: order.target.fence,
         task: order.task.clone(),
