--- a/crates/core/src/dispatch/owner.rs
+++ b/crates/core/src/dispatch/owner.rs
@@ -85,7 +85,7 @@
     job_ids: HashMap<String, JobKey>,
     queue: queue::Queue,
     run_times: run_times::RunTimes,
-    answer_times: answer_timeout::AnswerTimes,
+    answer_timeout: answer_timeout::AnswerTimeout,
     /// Ends of tasks that no job here has claimed, with their instants.
     orphan_ends: HashMap<Arc<str>, (EndKind, u64)>,
     losses: poison_tasks::Losses,
@@ -118,7 +118,7 @@
             job_ids: HashMap::new(),
             queue: queue::Queue::default(),
             run_times: run_times::RunTimes::default(),
-            answer_times: answer_timeout::AnswerTimes::default(),
+            answer_timeout: answer_timeout::AnswerTimeout::default(),
             orphan_ends: HashMap::new(),
             losses: poison_tasks::Losses::default(),
             ended: VecDeque::new(),
@@ -236,7 +236,7 @@
         }
         let id = spec.id.clone();
         let mut spec = spec;
-        self.run_times.refine(&mut spec);
+        self.run_times.refine_estimates(&mut spec);
         let mut job = Job::new(spec, origin, now_ms);
         job.unsafe_until_ms = now_ms + unsafe_for_ms;
         job.cleared_by = self.clearance.of(unsafe_holder);
@@ -248,9 +248,9 @@
             self.finish(now_ms, key, Outcome::Completed, "its tasks were done", out);
         }
         let work = self.jobs.get(key).map_or(0, Job::waiting_work);
-        self.send_away(now_ms, out);
+        self.return_jobs(now_ms, out);
         self.settle(now_ms, out);
-        self.judge_new(now_ms, key, work, out);
+        self.admit_new(now_ms, key, work, out);
     }
 
     fn remembered(&self, job_id: &str) -> Option<Outcome> {
@@ -279,10 +279,10 @@
         self.queue.invalidate();
         self.expire_origins(now_ms, out);
         self.expire(now_ms, out);
-        self.send_away(now_ms, out);
+        self.return_jobs(now_ms, out);
         self.refuse_hopeless(now_ms, out);
         self.settle(now_ms, out);
-        self.judge_all(now_ms, out);
+        self.recheck_waiting(now_ms, out);
         let old = |at_ms: u64| at_ms + REMEMBER_MS < now_ms;
         while self.ended.front().is_some_and(|ended| old(ended.0)) {
             self.ended.pop_front();
--- a/crates/core/src/dispatch/owner/closure.rs
+++ b/crates/core/src/dispatch/owner/closure.rs
@@ -1,73 +1,68 @@
-//! A failure domain that the operator has closed to new tasks.
+//! Evacuation of a failure domain that the operator has closed to new tasks.
 //!
-//! Load pattern: all callers of a failure domain are served elsewhere from one
-//! moment on, and its jobs are in the middle of their work. A job of which
-//! nothing has run goes back to its entry at once, which has another failure
-//! domain run it. One that has begun goes on here for a moment: nearly all end
-//! in that time, and to run them elsewhere would throw their work away. What runs
-//! when the moment is over ends by itself; a job that still waits for a task then
-//! goes back.
+//! A job that has not begun is returned to its entry at once, which delegates it to
+//! another failure domain. A job that has begun may start tasks for a grace period,
+//! in which most jobs complete, since running it elsewhere would discard its work.
+//! After that, runs go on until they end, and jobs with waiting tasks are returned.
 //!
-//! The moment ends within the time that the operator grants, counted from when
-//! the declarations were last known not to say so, however late this instance
-//! learns of it.
+//! The grace period is counted from when the declarations were last known not to
+//! close the failure domain, however late this instance learns of the change.
 //!
-//! An owner that knows no declarations yet starts nothing either, but keeps its
-//! jobs: just after a start they are known within 20 ms.
+//! Before it knows any declarations, just after the instance started, an owner starts
+//! nothing but keeps its jobs.
 
 use super::*;
 
 /// Whether tasks may start.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(super) enum Closure {
-    /// They may.
     #[default]
     Open,
-    /// No task may yet: no declarations are known.
+    /// No task may start: declarations are not known yet.
     Unknown,
-    /// Only tasks of jobs that have begun may, until then.
+    /// Only tasks of jobs that have begun may start, until `begun_until_ms`.
     Closed {
-        /// Milliseconds of the steady clock.
+        /// Milliseconds of the monotonic clock.
         begun_until_ms: u64,
     },
 }
 
-/// Why a job goes back to its entry.
+/// Reason of jobs that are returned to their entries.
 const CLOSED: &str = "the failure domain is closed";
 
 impl Owner {
-    /// Starts nothing new from now on, and for begun jobs from `begun_until_ms`.
+    /// Stops starting tasks: at once for jobs that have not begun, and from
+    /// `begun_until_ms` on for those that have.
     pub fn close(&mut self, now_ms: u64, begun_until_ms: u64, out: &mut Vec<Command>) {
         if matches!(self.closure, Closure::Closed { .. }) {
             return;
         }
         self.closure = Closure::Closed { begun_until_ms };
-        self.note_closure("closed", begun_until_ms.saturating_sub(now_ms), out);
-        self.send_away(now_ms, out);
+        self.log_closure("closed", begun_until_ms.saturating_sub(now_ms), out);
+        self.return_jobs(now_ms, out);
     }
 
-    /// Starts nothing until it is told whether the failure domain is closed.
+    /// Starts nothing until [`Self::close`] or [`Self::reopen`] is called.
     pub fn await_declarations(&mut self) {
         self.closure = Closure::Unknown;
     }
 
-    /// Starts tasks again.
+    /// Resumes starting tasks.
     pub fn reopen(&mut self, now_ms: u64, out: &mut Vec<Command>) {
         match std::mem::replace(&mut self.closure, Closure::Open) {
             Closure::Open => return,
             Closure::Unknown => {}
-            Closure::Closed { .. } => self.note_closure("reopened", 0, out),
+            Closure::Closed { .. } => self.log_closure("reopened", 0, out),
         }
         self.queue.invalidate();
         self.settle(now_ms, out);
     }
 
-    /// Whether the operator has closed the failure domain.
     pub(super) fn is_closed(&self) -> bool {
         matches!(self.closure, Closure::Closed { .. })
     }
 
-    /// Whether new jobs may start here.
+    /// Whether new jobs may start; false also while declarations are unknown.
     pub(super) fn is_open(&self) -> bool {
         self.closure == Closure::Open
     }
@@ -81,8 +76,8 @@
         }
     }
 
-    /// Gives back the jobs of which a task waits that may not start here.
-    pub(super) fn send_away(&mut self, now_ms: u64, out: &mut Vec<Command>) {
+    /// Returns the jobs with waiting tasks that may not start to their entries.
+    pub(super) fn return_jobs(&mut self, now_ms: u64, out: &mut Vec<Command>) {
         if !self.is_closed() {
             return;
         }
@@ -100,7 +95,7 @@
         }
     }
 
-    fn note_closure(&self, event: &'static str, begun_for_ms: u64, out: &mut Vec<Command>) {
+    fn log_closure(&self, event: &'static str, begun_for_ms: u64, out: &mut Vec<Command>) {
         let detail = format!(
             "begun jobs may start tasks for {begun_for_ms} ms, jobs {}",
             self.jobs.len()
--- a/crates/core/src/dispatch/owner/command.rs
+++ b/crates/core/src/dispatch/owner/command.rs
@@ -1,4 +1,4 @@
-//! What goes out of an owner, and what comes back.
+//! Commands of an owner, and the results of its orders.
 
 use std::sync::Arc;
 
@@ -9,52 +9,48 @@
 use crate::dispatch::job::Origin;
 use crate::dispatch::order::{HoldOrder, OrderOutcome, StartOrder, StopOrder, WorkerKey};
 
-/// What the owner's shell must do.
+/// An effect that the caller of the owner must carry out.
 #[derive(Debug)]
 pub enum Command {
-    /// Send a start.
+    /// Start a run on a worker.
     Start(StartOrder),
-    /// Send a stop.
+    /// Stop a run on a worker.
     Stop(StopOrder),
-    /// Send a hold.
+    /// Renew a worker's leases and list its runs and completions.
     Renew(HoldOrder),
     /// Tell the origin how its job ended.
     JobEnded {
-        /// Who delegated it.
+        /// The origin that delegated the job.
         origin: Origin,
-        /// How it ended.
+        /// The outcome, and the retry delay of a refused job.
         result: JobResult,
-        /// Why, for people.
+        /// Human-readable reason.
         reason: &'static str,
     },
-    /// Another owner outranks this one on a worker.
+    /// Give up ownership of the pool: a worker has seen a newer owner's fence.
     Superseded,
-    /// Write a line on a decision.
+    /// Write a log record.
     Log(LogEvent),
 }
 
 /// How a job ended at its owner.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct JobResult {
-    /// The job.
+    /// Id of the job, as its caller chose it.
     pub job_id: String,
-    /// How it ended.
+    /// How the job ended.
     pub outcome: Outcome,
-    /// When a job that was refused is worth sending again; 0 where unknown.
+    /// Delay after which a refused job is worth retrying; 0 if unknown.
     pub retry_after_ms: u64,
 }
 
-/// What became of a start or stop.
+/// The result of a start or stop order.
+#[expect(missing_docs, reason = "the fields repeat those of the order")]
 #[derive(Clone, Debug)]
 pub struct OrderResult {
-    /// The worker.
     pub worker: WorkerKey,
-    /// Fence of the order.
     pub fence: Fence,
-    /// Task of the order.
     pub task: Arc<str>,
-    /// Run of the order.
     pub run_id: u64,
-    /// What became of it.
     pub outcome: OrderOutcome,
 }
--- a/crates/core/src/dispatch/owner/completions.rs
+++ b/crates/core/src/dispatch/owner/completions.rs
@@ -32,7 +32,7 @@
                 if let RunOwner::Task(job, _) = run.owner
                     && let Some(job) = self.jobs.get(job)
                 {
-                    self.run_times.done(&job.spec.class, took_ms, slowness);
+                    self.run_times.record(&job.spec.class, took_ms, slowness);
                 }
             }
             EndKind::Failed => self.blame(now_ms, key, run.owner),
--- a/crates/core/src/dispatch/owner/forecast.rs
+++ b/crates/core/src/dispatch/owner/forecast.rs
@@ -1,91 +1,90 @@
-//! When waiting jobs can begin, by the expected ends of what runs.
+//! Forecast of when waiting jobs can begin, from the expected ends of runs.
 //!
-//! The room of the workers is taken as one sum over time: each run gives its
-//! room back at its expected end, and jobs take it in the queue's order. What is
-//! free now counts for nothing, since placing has just been tried: whatever
-//! still waits does not fit there. Estimates are off by half, but a queue holds
-//! many jobs, whose errors cancel out.
+//! The CPU of all workers is modelled as one pool: each run frees its share at its
+//! expected end, and waiting jobs take it in queue order. CPU that is free now is
+//! not counted, since the preceding placement found that no waiting task fits into
+//! it. Estimates may be off by half; the errors of many jobs cancel out.
 
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
 
 use super::super::limits::LEASE_MAX_MS;
 
-/// A run that should have ended takes this share of its expected time yet.
+/// Remaining time of an overdue run, as a share of its expected time.
 const OVERDUE_SHARE: f64 = 0.2;
 
-/// A job that takes more than all room that is known begins so much after the
-/// last of it has come free: by then a silent worker has answered, or its
-/// leases have lapsed.
-const UNKNOWN_ROOM_MS: u64 = LEASE_MAX_MS;
+/// Added to the forecast of a job that needs more CPU than is known to come free: by
+/// then an unresponsive worker has answered, or its leases have expired.
+const UNKNOWN_CAPACITY_MS: u64 = LEASE_MAX_MS;
 
-/// Room that comes free, and jobs that take it.
+/// CPU that comes free over time, less what the jobs forecast so far take.
 #[derive(Debug)]
 pub(super) struct Forecast {
-    /// Instants at which room comes free, thousandths of a core.
-    ends: BinaryHeap<Reverse<(u64, u64)>>,
-    /// Those that the job that is looked at needs.
+    /// Releases of CPU: instant and millicores.
+    releases: BinaryHeap<Reverse<(u64, u64)>>,
+    /// Releases that the job being forecast needs.
     needed: Vec<(u64, u64)>,
-    /// Room that is free at `last_ms`.
+    /// CPU free at `last_begin_ms`.
     free_millicores: u64,
-    /// When the last job that took room begins.
-    last_ms: u64,
+    /// When the last job that was reserved begins.
+    last_begin_ms: u64,
 }
 
 impl Forecast {
-    /// Nothing runs at `now_ms`.
+    /// A forecast as of `now_ms`, without any runs.
     pub(super) fn new(now_ms: u64) -> Self {
         Self {
-            ends: BinaryHeap::new(),
+            releases: BinaryHeap::new(),
             needed: Vec::new(),
             free_millicores: 0,
-            last_ms: now_ms,
+            last_begin_ms: now_ms,
         }
     }
 
-    /// A run takes room, from `ordered_ms` on, for about `expected_ms`.
-    pub(super) fn runs(&mut self, ordered_ms: u64, expected_ms: u64, millicores: u64) {
-        let overdue_ms = self.last_ms + (expected_ms as f64 * OVERDUE_SHARE) as u64;
+    /// Adds a run that was ordered at `ordered_ms` and takes about `expected_ms`.
+    pub(super) fn add_run(&mut self, ordered_ms: u64, expected_ms: u64, millicores: u64) {
+        let overdue_ms = self.last_begin_ms + (expected_ms as f64 * OVERDUE_SHARE) as u64;
         let end_ms = overdue_ms.max(ordered_ms + expected_ms);
-        self.frees(end_ms, millicores);
+        self.add_release(end_ms, millicores);
     }
 
-    /// Room comes free at an instant.
-    pub(super) fn frees(&mut self, at_ms: u64, millicores: u64) {
-        self.ends.push(Reverse((at_ms, millicores)));
+    /// Adds CPU that comes free at `at_ms`.
+    pub(super) fn add_release(&mut self, at_ms: u64, millicores: u64) {
+        self.releases.push(Reverse((at_ms, millicores)));
     }
 
-    /// When the next job in order can begin. It takes no room yet.
+    /// When the next job in queue order can begin. Reserves nothing; see
+    /// [`Self::reserve`].
     pub(super) fn begin_ms(&mut self, millicores: u64) -> u64 {
-        self.pass();
+        self.return_needed();
         let mut free_millicores = self.free_millicores;
         while free_millicores < millicores {
-            let Some(Reverse(end)) = self.ends.pop() else {
-                return self.needed_until_ms() + UNKNOWN_ROOM_MS;
+            let Some(Reverse(release)) = self.releases.pop() else {
+                return self.needed_until_ms() + UNKNOWN_CAPACITY_MS;
             };
-            self.needed.push(end);
-            free_millicores += end.1;
+            self.needed.push(release);
+            free_millicores += release.1;
         }
         self.needed_until_ms()
     }
 
     fn needed_until_ms(&self) -> u64 {
-        let last_ms = self.needed.last().map_or(0, |end| end.0);
-        self.last_ms.max(last_ms)
+        let last_ms = self.needed.last().map_or(0, |release| release.0);
+        self.last_begin_ms.max(last_ms)
     }
 
-    /// The job that was looked at last takes its room for `run_ms`.
-    pub(super) fn take(&mut self, millicores: u64, run_ms: u64) {
-        for (end_ms, freed) in self.needed.drain(..) {
-            self.last_ms = self.last_ms.max(end_ms);
+    /// Reserves CPU for `run_ms` for the job last passed to [`Self::begin_ms`].
+    pub(super) fn reserve(&mut self, millicores: u64, run_ms: u64) {
+        for (release_ms, freed) in self.needed.drain(..) {
+            self.last_begin_ms = self.last_begin_ms.max(release_ms);
             self.free_millicores += freed;
         }
         self.free_millicores = self.free_millicores.saturating_sub(millicores);
-        self.frees(self.last_ms + run_ms, millicores);
+        self.add_release(self.last_begin_ms + run_ms, millicores);
     }
 
-    /// The job that was looked at last takes nothing.
-    fn pass(&mut self) {
-        self.ends.extend(self.needed.drain(..).map(Reverse));
+    /// Returns the releases that an unreserved job would have needed.
+    fn return_needed(&mut self) {
+        self.releases.extend(self.needed.drain(..).map(Reverse));
     }
 }
--- a/crates/core/src/dispatch/owner/job_results.rs
+++ b/crates/core/src/dispatch/owner/job_results.rs
@@ -14,7 +14,7 @@
     }
 
     pub(super) fn stop_runs(&mut self, now_ms: u64, key: JobKey, out: &mut Vec<Command>) {
-        let answer_ms = self.answer_times.limit_ms();
+        let answer_ms = self.answer_timeout.timeout_ms();
         for (worker_key, worker) in &mut self.workers {
             let target = target_of(worker_key, worker);
             for run in &mut worker.runs {
--- a/crates/core/src/dispatch/owner/lease_renewal.rs
+++ b/crates/core/src/dispatch/owner/lease_renewal.rs
@@ -64,7 +64,7 @@
             deadline_ms,
             ends_upto: worker.ends_upto,
             wait_ms,
-            answer_ms: self.answer_times.limit_ms(),
+            answer_ms: self.answer_timeout.timeout_ms(),
         }));
     }
 
@@ -115,7 +115,7 @@
                 worker.misses = 0;
                 worker.heard_ms = now_ms;
                 if hold.wait_ms == 0 {
-                    self.answer_times.answered(now_ms - hold.sent_ms);
+                    self.answer_timeout.record_answer(now_ms - hold.sent_ms);
                 }
                 worker.acked_upto = worker.acked_upto.max(hold.ends_upto);
                 for end in ended {
@@ -138,7 +138,7 @@
                 worker.standing = Standing::Unfenced;
                 worker.silent = true;
                 worker.missed(now_ms);
-                self.answer_times.unanswered();
+                self.answer_timeout.record_unanswered();
             }
         }
         self.settle(now_ms, out);
--- a/crates/core/src/dispatch/owner/log_event.rs
+++ b/crates/core/src/dispatch/owner/log_event.rs
@@ -1,37 +1,37 @@
-//! Lines on decisions, as typed values; the shell writes them.
+//! Log records of the owner's decisions, as typed values; the caller writes them.
 
 use super::OrderResult;
 use crate::dispatch::worker::Worker;
 
-/// What a note is about.
+/// What a log record is about.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum LogTopic {
-    /// Jobs, their runs, workers: many.
+    /// A single job, run or worker; such records are frequent.
     #[default]
     Work,
     /// The pool as a whole.
     Pool,
 }
 
-/// One decision or change of belief.
+/// A log record of one decision or state change.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct LogEvent {
-    /// What it is about.
+    /// Whether the record is about a work item or the pool.
     pub topic: LogTopic,
-    /// What happened.
+    /// The message.
     pub event: &'static str,
-    /// The job, or the task that names it; empty where none is concerned.
+    /// Id of the job, or name of the task; empty if there is none.
     pub subject: String,
-    /// Id of the worker; empty where none is concerned.
+    /// Id of the worker; empty if there is none.
     pub worker: String,
-    /// Age of the worker's last answer, milliseconds, where that decided.
+    /// Age of the worker's last answer in milliseconds, if the decision depended on it.
     pub last_heard_ms: Option<u64>,
-    /// What decided it, for people.
+    /// Human-readable details.
     pub detail: String,
 }
 
 impl LogEvent {
-    /// A change of belief about a worker.
+    /// A change of a worker's state.
     pub fn worker(event: &'static str, worker: &Worker) -> Self {
         Self {
             event,
@@ -41,7 +41,7 @@
         }
     }
 
-    /// A change of belief about the whole pool.
+    /// A change of the whole pool's state.
     pub fn pool(event: &'static str, detail: String) -> Self {
         Self {
             topic: LogTopic::Pool,
@@ -51,7 +51,7 @@
         }
     }
 
-    /// A decision on a job.
+    /// A decision on a job, or on the task that `job_id` names.
     pub fn job(event: &'static str, job_id: &str) -> Self {
         Self {
             event,
@@ -60,13 +60,13 @@
         }
     }
 
-    /// What became of an order for a run.
-    pub fn run(event: &'static str, worker: &Worker, answer: &OrderResult) -> Self {
+    /// The result of an order for a run.
+    pub fn run(event: &'static str, worker: &Worker, result: &OrderResult) -> Self {
         Self {
             event,
-            subject: answer.task.to_string(),
+            subject: result.task.to_string(),
             worker: worker.record.id.to_string(),
-            detail: format!("{:?} fence {}", answer.outcome, answer.fence.token()),
+            detail: format!("{:?} fence {}", result.outcome, result.fence.token()),
             ..Self::default()
         }
     }
--- a/crates/core/src/dispatch/owner/order_results.rs
+++ b/crates/core/src/dispatch/owner/order_results.rs
@@ -22,7 +22,7 @@
                 worker.read_clock(now_ms, clock_ms);
                 if let Some(position) = position {
                     let ordered_ms = worker.runs[position].ordered_ms;
-                    self.answer_times.answered(now_ms - ordered_ms);
+                    self.answer_timeout.record_answer(now_ms - ordered_ms);
                     let run = &mut worker.runs[position];
                     if matches!(run.state, RunState::Starting(_)) {
                         run.state = RunState::Running;
@@ -31,7 +31,7 @@
                 }
             }
             OrderOutcome::NoAnswer if newest => {
-                self.answer_times.unanswered();
+                self.answer_timeout.record_unanswered();
                 worker.raise();
                 out.push(Command::Log(LogEvent::run(
                     "start unanswered",
@@ -39,7 +39,7 @@
                     answer,
                 )));
             }
-            OrderOutcome::NoAnswer => self.answer_times.unanswered(),
+            OrderOutcome::NoAnswer => self.answer_timeout.record_unanswered(),
             OrderOutcome::Fenced if newest => self.outranked(now_ms, answer.worker, out),
             OrderOutcome::OtherLife => self.life_over(now_ms, answer.worker, out),
             OrderOutcome::Fenced | OrderOutcome::Rejected(_) => {
--- a/crates/core/src/dispatch/owner/overdue.rs
+++ b/crates/core/src/dispatch/owner/overdue.rs
@@ -67,8 +67,8 @@
 impl Owner {
     /// Stops a worker's runs that have taken too long, and asks for their ends.
     pub(super) fn stop_overdue(&mut self, now_ms: u64, key: WorkerKey, out: &mut Vec<Command>) {
-        let answer_ms = self.answer_times.limit_ms();
-        let is_lossy = self.answer_times.is_lossy();
+        let answer_ms = self.answer_timeout.timeout_ms();
+        let is_lossy = self.answer_timeout.is_lossy();
         let worker = &mut self.workers[key];
         if worker.standing != Standing::Fenced {
             return;
--- a/crates/core/src/dispatch/owner/placement.rs
+++ b/crates/core/src/dispatch/owner/placement.rs
@@ -64,10 +64,10 @@
 impl Owner {
     /// Starts every waiting task that fits, most urgent first.
     pub(super) fn place(&mut self, now_ms: u64, out: &mut Vec<Command>) {
-        if self.queue.is_due(now_ms) {
+        if self.queue.is_sort_due(now_ms) {
             let fenced = self.all_fenced();
             let shares = self.shares();
-            self.queue.refresh(&self.jobs, &shares, now_ms, fenced);
+            self.queue.sort(&self.jobs, &shares, now_ms, fenced);
         }
         let mut open = self.open_workers(now_ms);
         if self.queue.none_fits(widest(&open)) {
@@ -84,7 +84,7 @@
         }
         self.queue = queue;
         if begun > 0 {
-            self.queue.age();
+            self.queue.mark_unsorted();
         }
     }
 
@@ -100,13 +100,13 @@
     pub(super) fn shares(&self) -> Shares {
         let mut shares = Shares::default();
         for job in self.jobs.values().filter(|job| !job.stopping) {
-            shares.uses(&job.spec.class, 0);
+            shares.record_usage(&job.spec.class, 0);
         }
         for run in self.workers.values().flat_map(|worker| &worker.runs) {
             if let (RunOwner::Task(key, _), Some(room)) = (run.owner, run.room)
                 && let Some(job) = self.jobs.get(key)
             {
-                shares.uses(&job.spec.class, room.cpu_millicores);
+                shares.record_usage(&job.spec.class, room.cpu_millicores);
             }
         }
         shares
@@ -282,7 +282,7 @@
             run_id: task.run_id,
             spec: job.task_spec.clone(),
             deadline_ms,
-            answer_ms: self.answer_times.limit_ms(),
+            answer_ms: self.answer_timeout.timeout_ms(),
         }));
     }
 }
--- a/crates/core/src/dispatch/owner/queue.rs
+++ b/crates/core/src/dispatch/owner/queue.rs
@@ -1,19 +1,19 @@
-//! The order in which waiting jobs are tried.
+//! Queue of waiting jobs, in the order in which their placement is tried.
 //!
-//! A job that has begun comes first: its room is taken already, and only its
-//! end makes that worth anything. The others are ordered by
+//! A job that has begun comes first, since it occupies capacity until it completes.
+//! The others are ordered by
 //!
 //! 1. whether they can still meet their objective, or only the late one;
-//! 2. whether their class uses more than its share of the room ([`shares`]);
+//! 2. whether their class uses more than its fair share of CPU ([`shares`]);
 //! 3. their declared priority;
-//! 4. their latest start: the instant by which a job's longest chain must begin
-//!    to meet its objective.
+//! 4. their latest start: when the critical path of the job must begin for it to
+//!    meet its objective.
 //!
-//! Load pattern: more comes than there is room for. By latest start alone every
-//! job is tried just before it is of no use, and most that begin end late.
+//! Under overload, ordering by latest start alone would begin every job just before
+//! it becomes useless, and most would finish late.
 //!
-//! The order is kept between events and made anew when a job or a task begins
-//! to wait and with each tick: a long queue is scanned often and changes rarely.
+//! The queue is sorted when a job or a task begins to wait and on each tick, not on
+//! every event: a long queue is scanned often and changes rarely.
 //!
 //! [`shares`]: super::shares
 
@@ -23,11 +23,11 @@
 use super::super::order::JobKey;
 use super::shares::Shares;
 
-/// Shortest time between sorts that only new jobs cause: a backlog that arrives at
-/// once would otherwise cost a sort of all for each job.
-const AGED_MS: u64 = 5;
+/// Minimum interval of sorts that only new jobs cause, so that a backlog which arrives
+/// at once does not cost a full sort for each job.
+const SORT_INTERVAL_MS: u64 = 5;
 
-/// Place in the order: smaller is tried first.
+/// Position in the queue; smaller ranks are tried first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct Rank {
     unbegun: bool,
@@ -40,76 +40,74 @@
 /// Which objective a job can still meet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) enum Lateness {
-    /// Its own.
+    /// The caller's objective.
     InTime,
-    /// The late one.
+    /// The late objective, after which an answer is worthless.
     Late,
-    /// None.
     TooLate,
 }
 
-/// Waiting jobs, most urgent first.
 #[derive(Debug, Default)]
 pub(super) struct Queue {
     order: Vec<(Rank, JobKey)>,
-    /// A task waits that the order may not hold.
-    stale: bool,
-    /// Ranks may have changed.
-    aged: bool,
+    /// Whether a waiting task may be missing from `order`.
+    is_incomplete: bool,
+    /// Whether ranks may have changed.
+    is_unsorted: bool,
     sorted_ms: u64,
-    /// How often the order was made.
+    /// Number of sorts so far.
     sorts: u64,
-    /// Smallest processor share that a waiting task takes.
-    smallest_millicores: u64,
+    /// Smallest CPU request of a waiting task.
+    min_millicores: u64,
 }
 
 impl Queue {
-    /// Something began to wait, or time has passed.
+    /// Requests a sort before the next placement: a task began to wait, or time has
+    /// passed.
     pub(super) fn invalidate(&mut self) {
-        self.stale = true;
+        self.is_incomplete = true;
     }
 
-    /// Jobs came or began, which may change the ranks of others.
-    pub(super) fn age(&mut self) {
-        self.aged = true;
+    /// Requests a sort within [`SORT_INTERVAL_MS`]: jobs arrived or began, which may
+    /// change the ranks of others.
+    pub(super) fn mark_unsorted(&mut self) {
+        self.is_unsorted = true;
     }
 
-    /// Whether the order has to be made anew.
-    pub(super) fn is_due(&self, now_ms: u64) -> bool {
-        self.stale || (self.aged && now_ms >= self.sorted_ms + AGED_MS)
+    pub(super) fn is_sort_due(&self, now_ms: u64) -> bool {
+        self.is_incomplete || (self.is_unsorted && now_ms >= self.sorted_ms + SORT_INTERVAL_MS)
     }
 
-    /// Makes the order anew; `fenced` tells whether all workers obey, so that
-    /// unsafe jobs may start.
-    pub(super) fn refresh(
+    /// Collects and sorts the waiting jobs; `fenced` tells whether all workers of the
+    /// predecessor are fenced ([`Job::is_safe`]).
+    pub(super) fn sort(
         &mut self,
         jobs: &SlotMap<JobKey, Job>,
         shares: &Shares,
         now_ms: u64,
         fenced: bool,
     ) {
-        self.stale = false;
-        self.aged = false;
+        self.is_incomplete = false;
+        self.is_unsorted = false;
         self.sorted_ms = now_ms;
         self.sorts += 1;
         self.order.clear();
-        self.smallest_millicores = u64::MAX;
+        self.min_millicores = u64::MAX;
         for (key, job) in jobs {
-            let Some(smallest) = smallest_waiting(job, now_ms, fenced) else {
+            let Some(min_millicores) = min_waiting_millicores(job, now_ms, fenced) else {
                 continue;
             };
-            self.smallest_millicores = self.smallest_millicores.min(smallest);
+            self.min_millicores = self.min_millicores.min(min_millicores);
             self.order.push((rank(job, shares, now_ms), key));
         }
         self.order.sort_unstable();
     }
 
-    /// Whether nothing waits.
     pub(super) fn is_empty(&self) -> bool {
         self.order.is_empty()
     }
 
-    /// A job began to wait: it takes its place in the order as it is.
+    /// Inserts a job that began to wait, without a sort of the others.
     pub(super) fn insert(
         &mut self,
         key: JobKey,
@@ -118,32 +116,32 @@
         now_ms: u64,
         fenced: bool,
     ) {
-        let Some(smallest) = smallest_waiting(job, now_ms, fenced) else {
+        let Some(min_millicores) = min_waiting_millicores(job, now_ms, fenced) else {
             return;
         };
-        self.smallest_millicores = match self.order.is_empty() {
-            true => smallest,
-            false => self.smallest_millicores.min(smallest),
+        self.min_millicores = match self.order.is_empty() {
+            true => min_millicores,
+            false => self.min_millicores.min(min_millicores),
         };
-        let place = (rank(job, shares, now_ms), key);
-        let position = self.order.partition_point(|known| *known < place);
-        self.order.insert(position, place);
-        self.age();
+        let entry = (rank(job, shares, now_ms), key);
+        let position = self.order.partition_point(|known| *known < entry);
+        self.order.insert(position, entry);
+        self.mark_unsorted();
     }
 
-    /// How often the order was made.
+    /// Number of sorts so far.
     pub(super) fn sorts(&self) -> u64 {
         self.sorts
     }
 
-    /// The jobs in order.
+    /// The jobs in queue order.
     pub(super) fn jobs(&self) -> impl Iterator<Item = JobKey> + '_ {
         self.order.iter().map(|&(_, key)| key)
     }
 
-    /// Whether no waiting task fits into so much.
+    /// Whether no waiting task fits into `free_millicores`.
     pub(super) fn none_fits(&self, free_millicores: u64) -> bool {
-        self.order.is_empty() || free_millicores < self.smallest_millicores
+        self.order.is_empty() || free_millicores < self.min_millicores
     }
 }
 
@@ -156,13 +154,13 @@
     Rank {
         unbegun: !job.started,
         lateness,
-        over_share: shares.is_over(&job.spec.class),
+        over_share: shares.is_over_share(&job.spec.class),
         priority: job.spec.priority,
         latest_start_ms: end_ms.saturating_sub(job.remaining_ms()),
     }
 }
 
-/// What a job that begins at an instant can still meet.
+/// Which objective a job that begins at `begin_ms` can still meet.
 pub(super) fn lateness(job: &Job, begin_ms: u64) -> Lateness {
     let end_ms = begin_ms + job.remaining_ms();
     if end_ms <= job.objective_ms(1.0) {
@@ -174,9 +172,8 @@
     }
 }
 
-/// The smallest share that a waiting task of a job takes; none where nothing
-/// of it may be started.
-fn smallest_waiting(job: &Job, now_ms: u64, fenced: bool) -> Option<u64> {
+/// Smallest CPU request of a job's waiting tasks; `None` if none of them may start.
+fn min_waiting_millicores(job: &Job, now_ms: u64, fenced: bool) -> Option<u64> {
     if !job.is_safe(now_ms, fenced) || job.stopping || job.paused {
         return None;
     }
--- a/crates/core/src/dispatch/owner/run_times.rs
+++ b/crates/core/src/dispatch/owner/run_times.rs
@@ -1,59 +1,57 @@
-//! How long tasks take, learned from those that were done.
+//! Mean run times by job class, learned from completed tasks.
 //!
-//! A caller's estimate is rough, and so is the mean of its class; both are off
-//! by about the same factor. The best guess from both is their geometric mean.
+//! A caller's estimate and the mean of its class are off by about the same
+//! factor, so the two are combined by their geometric mean.
 
 use std::collections::HashMap;
 
 use trefoil_schema::dispatch::Job as JobSpec;
 
-/// Weight of the newest task in a class's mean.
+/// Weight of the newest sample in a class's moving average.
 const WEIGHT: f64 = 0.05;
-/// Tasks that a class needs before its mean is used.
-const TASKS_MIN: u32 = 10;
-/// Classes kept; a deployment has a few dozen queues in use.
+/// Samples needed before a class's mean is used.
+const SAMPLES_MIN: u32 = 10;
+/// Bound on the number of classes for which statistics are kept.
 const CLASSES_MAX: usize = 1024;
 
-/// One class of jobs.
 #[derive(Clone, Copy, Debug, Default)]
-struct Class {
-    /// Mean of the logarithms of run times, milliseconds.
+struct ClassStats {
+    /// Mean of the natural logarithms of run times in milliseconds.
     mean_log_ms: f64,
-    tasks: u32,
+    samples: u32,
 }
 
-/// Run times by class.
 #[derive(Debug, Default)]
 pub(super) struct RunTimes {
-    classes: HashMap<String, Class>,
+    classes: HashMap<String, ClassStats>,
 }
 
 impl RunTimes {
-    /// A task was done in `took_ms`, on a worker that takes `slowness` times as
-    /// long as others.
-    pub(super) fn done(&mut self, class: &str, took_ms: u64, slowness: f64) {
-        let log_ms = (took_ms.max(1) as f64 / slowness).ln();
+    /// Records a task that completed after `took_ms` on a worker whose run times
+    /// are `slowdown` times the estimates.
+    pub(super) fn record(&mut self, class: &str, took_ms: u64, slowdown: f64) {
+        let log_ms = (took_ms.max(1) as f64 / slowdown).ln();
         if !self.classes.contains_key(class) {
             if self.classes.len() >= CLASSES_MAX {
                 return;
             }
-            self.classes.insert(class.to_owned(), Class::default());
+            self.classes.insert(class.to_owned(), ClassStats::default());
         }
         if let Some(known) = self.classes.get_mut(class) {
-            known.tasks = known.tasks.saturating_add(1);
-            let weight = WEIGHT.max(1.0 / f64::from(known.tasks));
+            known.samples = known.samples.saturating_add(1);
+            let weight = WEIGHT.max(1.0 / f64::from(known.samples));
             known.mean_log_ms += weight * (log_ms - known.mean_log_ms);
         }
     }
 
-    /// Mean run time of a class; none while too little is known.
+    /// Geometric mean of a class's run times; `None` before there are enough samples.
     pub(super) fn mean_ms(&self, class: &str) -> Option<f64> {
         let class = self.classes.get(class)?;
-        (class.tasks >= TASKS_MIN).then(|| class.mean_log_ms.exp())
+        (class.samples >= SAMPLES_MIN).then(|| class.mean_log_ms.exp())
     }
 
-    /// Puts the best guesses in place of a job's estimates.
-    pub(super) fn refine(&self, spec: &mut JobSpec) {
+    /// Combines a job's estimates with the mean of its class.
+    pub(super) fn refine_estimates(&self, spec: &mut JobSpec) {
         let Some(mean_ms) = self.mean_ms(&spec.class) else {
             return;
         };
--- a/crates/core/src/dispatch/owner/settings.rs
+++ b/crates/core/src/dispatch/owner/settings.rs
@@ -1,8 +1,8 @@
-//! What an owner decides by, where experiments compare ways.
+//! Settings that simulations vary to compare policies.
 
-/// Settings of an owner; the defaults are what instances run with.
+/// Settings of an owner; instances run with the defaults.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Settings {
-    /// Takes in every job and refuses it only once it is hopeless.
+    /// Disables admission control: a job is refused only once it has expired.
     pub admit_all: bool,
 }
--- a/crates/core/src/dispatch/owner/shares.rs
+++ b/crates/core/src/dispatch/owner/shares.rs
@@ -1,14 +1,14 @@
-//! Each class's share of the room.
+//! Fair sharing of capacity between job classes.
 //!
-//! Load pattern: one class sends several times what it usually does. By due
-//! times or priority alone it would take all room, and the others' jobs would
-//! be refused for it. So every class that has work has a claim on an equal
-//! share; a class that uses more than that waits behind those that use less.
-//! What they leave, it takes: nothing is reserved for a class without work.
+//! Prevents a class that submits several times its usual load from starving the
+//! others, which would happen with deadlines or priorities alone. Every class
+//! with jobs is entitled to an equal share of the CPU in use; a class above its
+//! share queues behind those below theirs. Sharing is work-conserving: nothing is
+//! reserved for a class without jobs.
 
 use std::collections::HashMap;
 
-/// Room in use, by class.
+/// CPU in use by class, in millicores.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Shares {
     used_millicores: HashMap<String, u64>,
@@ -16,8 +16,8 @@
 }
 
 impl Shares {
-    /// A class has jobs; its runs take so much, thousandths of a core.
-    pub(super) fn uses(&mut self, class: &str, millicores: u64) {
+    /// Records that a class has jobs, and adds `millicores` to its usage.
+    pub(super) fn record_usage(&mut self, class: &str, millicores: u64) {
         self.total_millicores += millicores;
         if let Some(used) = self.used_millicores.get_mut(class) {
             *used += millicores;
@@ -26,8 +26,8 @@
         self.used_millicores.insert(class.to_owned(), millicores);
     }
 
-    /// Whether a class uses more than its share of what is in use.
-    pub(super) fn is_over(&self, class: &str) -> bool {
+    /// Whether a class uses more than an equal share of the CPU in use.
+    pub(super) fn is_over_share(&self, class: &str) -> bool {
         let used = self.used_millicores.get(class).copied().unwrap_or(0);
         let classes = self.used_millicores.len().max(1) as u64;
         used * classes > self.total_millicores
--- a/crates/core/src/dispatch/owner/stats.rs
+++ b/crates/core/src/dispatch/owner/stats.rs
@@ -1,23 +1,23 @@
-//! What an owner tells of its state: load for entries, sizes for metrics.
+//! Load reports for entries, and counters for metrics.
 
 use trefoil_schema::dispatch::Load;
 
 use super::*;
 
-/// Counters of an owner's tables.
+/// Counters of an owner for metrics.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct OwnerStats {
     /// Jobs that have not ended.
     pub jobs: usize,
-    /// Jobs that wait for room.
+    /// Jobs with tasks that wait for capacity.
     pub waiting: usize,
-    /// Workers known.
+    /// Workers in the owner's table, listed by the registry or not.
     pub workers: usize,
-    /// Workers that can be ordered.
+    /// Workers that have accepted the owner's current fence.
     pub workers_fenced: usize,
     /// Runs that may be on workers.
     pub runs: usize,
-    /// How often the queue was sorted.
+    /// Number of queue sorts so far.
     pub queue_sorts: u64,
 }
 
@@ -35,7 +35,7 @@
 }
 
 impl Owner {
-    /// Load of the workers, for entries to choose by.
+    /// Load of the pool, by which entries choose where to delegate jobs.
     pub fn load(&self, now_ms: u64) -> Load {
         let open = self.workers.values().filter(|worker| {
             worker.standing == Standing::Fenced
@@ -61,7 +61,7 @@
         load
     }
 
-    /// Counts for metrics and tests: jobs here, workers fenced, runs.
+    /// Counters for metrics and tests.
     pub fn stats(&self) -> OwnerStats {
         let fenced = |worker: &&Worker| worker.standing == Standing::Fenced;
         OwnerStats {
