--- a/crates/core/src/dispatch/entry.rs
+++ b/crates/core/src/dispatch/entry.rs
@@ -19,7 +19,7 @@
 
 use trefoil_schema::dispatch::{Claim, Holder, Job as JobSpec, Load, Outcome};
 
-use super::limits::{DELEGATED_GAP_MS, UNPLACED_MAX_MS};
+use super::limits::{PLACEMENT_TIMEOUT_MS, REDELEGATION_DELAY_MS};
 use super::owner::Ending;
 use super::ownership::holder_of;
 
@@ -27,7 +27,7 @@
 use refusal::{CLOSED, Refusal};
 
 pub use choice::PoolView;
-pub use command::{Answer, Cause, Command, Owned, Ticket};
+pub use command::{Answer, Command, PoolOwner, RequestId, RevocationCause};
 
 /// Where a job is.
 #[derive(Clone, Debug, PartialEq)]
@@ -35,13 +35,13 @@
     /// Here, for an owner to be found.
     Waiting,
     /// At the owner of a pool.
-    Delegated(Owned),
+    Delegated(PoolOwner),
 }
 
 #[derive(Clone, Debug)]
 struct EntryJob {
     spec: JobSpec,
-    waiters: Vec<Ticket>,
+    waiters: Vec<RequestId>,
     arrived_ms: u64,
     deadline_ms: u64,
     place: Place,
@@ -67,7 +67,7 @@
 pub struct Entry {
     home: String,
     jobs: HashMap<String, EntryJob>,
-    tickets: HashMap<Ticket, String>,
+    tickets: HashMap<RequestId, String>,
     pools: BTreeMap<String, PoolView>,
     /// Pools of the own failure domain that this entry uses once they have
     /// owners.
@@ -94,7 +94,7 @@
     pub fn submit(
         &mut self,
         now_ms: u64,
-        ticket: Ticket,
+        ticket: RequestId,
         spec: JobSpec,
         deadline_ms: u64,
         out: &mut Vec<Command>,
@@ -130,7 +130,7 @@
     }
 
     /// A caller no longer waits; without any waiter the job is cancelled.
-    pub fn caller_left(&mut self, ticket: Ticket, out: &mut Vec<Command>) {
+    pub fn caller_left(&mut self, ticket: RequestId, out: &mut Vec<Command>) {
         let Some(id) = self.tickets.remove(&ticket) else {
             return;
         };
@@ -154,7 +154,13 @@
     }
 
     /// Takes in how an owner says that a job ended.
-    pub fn ended(&mut self, now_ms: u64, from: &Owned, ending: &Ending, out: &mut Vec<Command>) {
+    pub fn ended(
+        &mut self,
+        now_ms: u64,
+        from: &PoolOwner,
+        ending: &Ending,
+        out: &mut Vec<Command>,
+    ) {
         let id = ending.job_id.as_str();
         let outcome = ending.outcome;
         let Some(job) = self.jobs.get_mut(id) else {
@@ -177,7 +183,7 @@
                 }
                 job_ran(job, outcome);
                 let may_run = !matches!(outcome, Outcome::Returned | Outcome::Stopped);
-                self.take_back(now_ms, id, may_run, Cause::Told(outcome), out);
+                self.take_back(now_ms, id, may_run, RevocationCause::Told(outcome), out);
                 self.place(now_ms, id, out);
             }
         }
@@ -190,11 +196,11 @@
         };
         let known = self.pools.get(&claim.pool);
         if let Some(other) = known.filter(|view| view.holder.owner != holder.owner) {
-            let owned = Owned {
+            let owned = PoolOwner {
                 pool: claim.pool.clone(),
                 owner: other.holder.owner.clone(),
             };
-            self.pool_lost(now_ms, &owned, Cause::OwnerChanged, out);
+            self.pool_lost(now_ms, &owned, RevocationCause::OwnerChanged, out);
         }
         let known = self.pools.get(&claim.pool);
         let served = known.is_some_and(|view| view.load.serving);
@@ -225,7 +231,7 @@
         let expired = |job: &EntryJob| {
             let until_ms = match job.refusal {
                 Some(refusal) => refusal.until_ms,
-                None => job.waiting_since_ms + UNPLACED_MAX_MS,
+                None => job.waiting_since_ms + PLACEMENT_TIMEOUT_MS,
             };
             let unplaced =
                 job.place == Place::Waiting && now_ms >= until_ms && now_ms >= job.unsafe_until_ms;
@@ -306,7 +312,7 @@
         };
         view.since_millicore_ms += work_of(&job.spec);
         view.since_millicores += width_of(&job.spec);
-        let to = Owned {
+        let to = PoolOwner {
             pool,
             owner: view.holder.owner.clone(),
         };
--- a/crates/core/src/dispatch/entry/command.rs
+++ b/crates/core/src/dispatch/entry/command.rs
@@ -3,7 +3,7 @@
 use trefoil_schema::dispatch::{Holder, Job as JobSpec, Outcome};
 
 /// One caller's request.
-pub type Ticket = u64;
+pub type RequestId = u64;
 
 /// What an entry's shell must do.
 #[derive(Clone, Debug, PartialEq)]
@@ -11,7 +11,7 @@
     /// Hand a job to an owner.
     Delegate {
         /// The pool, and its owner.
-        to: Owned,
+        to: PoolOwner,
         /// The job; its age counts from the caller's request.
         spec: JobSpec,
         /// Age of what is known of the owner.
@@ -26,21 +26,21 @@
         /// The job.
         job_id: String,
         /// The pool, and its owner.
-        from: Owned,
+        from: PoolOwner,
         /// Why.
-        cause: Cause,
+        cause: RevocationCause,
     },
     /// Tell an owner that nobody awaits a job any more.
     Cancel {
         /// The pool, and its owner.
-        to: Owned,
+        to: PoolOwner,
         /// The job.
         job_id: String,
     },
     /// Answer a caller.
     Answer {
         /// The request.
-        ticket: Ticket,
+        ticket: RequestId,
         /// The answer.
         answer: Answer,
     },
@@ -48,7 +48,7 @@
 
 /// Why a job is taken back from an owner.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Cause {
+pub enum RevocationCause {
     /// The link to the owner is gone.
     LinkLost,
     /// The pool has another owner, or none.
@@ -59,7 +59,7 @@
 
 /// A pool and the name of its owner.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Owned {
+pub struct PoolOwner {
     /// The pool.
     pub pool: String,
     /// Name of the instance that owns it.
--- a/crates/core/src/dispatch/entry/losses.rs
+++ b/crates/core/src/dispatch/entry/losses.rs
@@ -9,12 +9,12 @@
 
 impl Entry {
     /// The pools of an owner, as this entry knows them.
-    pub fn pools_of(&self, owner: &str) -> Vec<Owned> {
+    pub fn pools_of(&self, owner: &str) -> Vec<PoolOwner> {
         let pools = self
             .pools
             .iter()
             .filter(|(_, view)| view.holder.owner == owner);
-        let owned = |(pool, view): (&String, &PoolView)| Owned {
+        let owned = |(pool, view): (&String, &PoolView)| PoolOwner {
             pool: pool.clone(),
             owner: view.holder.owner.clone(),
         };
@@ -35,12 +35,18 @@
     /// The link to an owner is gone.
     pub fn owner_lost(&mut self, now_ms: u64, owner: &str, out: &mut Vec<Command>) {
         for owned in self.pools_of(owner) {
-            self.pool_lost(now_ms, &owned, Cause::LinkLost, out);
+            self.pool_lost(now_ms, &owned, RevocationCause::LinkLost, out);
         }
     }
 
     /// An owner does not own a pool any more.
-    pub fn pool_lost(&mut self, now_ms: u64, owned: &Owned, cause: Cause, out: &mut Vec<Command>) {
+    pub fn pool_lost(
+        &mut self,
+        now_ms: u64,
+        owned: &PoolOwner,
+        cause: RevocationCause,
+        out: &mut Vec<Command>,
+    ) {
         let place = Place::Delegated(owned.clone());
         let delegated = self.jobs.iter().filter(|(_, job)| job.place == place);
         let ids: Vec<String> = delegated.map(|(id, _)| id.clone()).collect();
@@ -61,7 +67,7 @@
         now_ms: u64,
         id: &str,
         may_run: bool,
-        cause: Cause,
+        cause: RevocationCause,
         out: &mut Vec<Command>,
     ) {
         let Some(job) = self.jobs.get_mut(id) else {
@@ -83,7 +89,7 @@
         // Runs of two ownerships end only with time.
         let is_only = now_ms >= job.unsafe_until_ms || job.unsafe_holder == job.holder;
         job.unsafe_holder = job.holder.clone().filter(|_| is_only);
-        job.unsafe_until_ms = now_ms + DELEGATED_GAP_MS;
+        job.unsafe_until_ms = now_ms + REDELEGATION_DELAY_MS;
         job.unsafe_pool = from.pool;
     }
 }
--- a/crates/core/src/dispatch/entry/refusal.rs
+++ b/crates/core/src/dispatch/entry/refusal.rs
@@ -1,8 +1,8 @@
 //! Jobs that an owner refuses, and those that are given up.
 
-use super::super::limits::{OWNER_FOLLOWS_MS, POOLS_TRIED_MAX, RETRY_AFTER_MS};
+use super::super::limits::{POOLS_TRIED_MAX, RETRY_AFTER_MS, VACANT_POOL_WAIT_MS};
 use super::super::owner::Ending;
-use super::{Answer, Cause, Command, Entry, Owned, Place};
+use super::{Answer, Command, Entry, Place, PoolOwner, RevocationCause};
 
 /// Why a job is refused that an owner has no room for.
 const NO_ROOM: &str = "no worker comes free in time";
@@ -38,7 +38,7 @@
     pub(super) fn refused(
         &mut self,
         now_ms: u64,
-        from: &Owned,
+        from: &PoolOwner,
         ending: &Ending,
         out: &mut Vec<Command>,
     ) {
@@ -48,13 +48,19 @@
         };
         job.refused_by.push(from.pool.clone());
         let retry_after_ms = ending.retry_after_ms.max(RETRY_AFTER_MS);
-        let until_ms = job.arrived_ms + OWNER_FOLLOWS_MS;
+        let until_ms = job.arrived_ms + VACANT_POOL_WAIT_MS;
         job.refusal = Some(Refusal {
             until_ms,
             retry_after_ms,
         });
         let may_try = job.refused_by.len() < POOLS_TRIED_MAX && !job.may_have_run;
-        self.take_back(now_ms, id, false, Cause::Told(ending.outcome), out);
+        self.take_back(
+            now_ms,
+            id,
+            false,
+            RevocationCause::Told(ending.outcome),
+            out,
+        );
         if may_try {
             self.place(now_ms, id, out);
         }
--- a/crates/core/src/dispatch/order.rs
+++ b/crates/core/src/dispatch/order.rs
@@ -58,7 +58,7 @@
 
 /// Renews the lease, acknowledges ends, asks what runs and what has ended.
 #[derive(Clone, Debug)]
-pub struct HoldOrder {
+pub struct RenewOrder {
     /// Where it goes.
     pub target: Target,
     /// Tells the holds of one worker apart.
@@ -117,7 +117,7 @@
 
 /// One end that a worker lists.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct ListedEnd {
+pub struct RunCompletion {
     /// Counts the ends of this life of the worker, from 1.
     pub number: u64,
     /// Name of the task.
@@ -125,12 +125,12 @@
     /// Number of the run.
     pub run_id: u64,
     /// How it ended.
-    pub how: EndKind,
+    pub how: RunOutcome,
 }
 
 /// How a run ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum EndKind {
+pub enum RunOutcome {
     /// The task is done.
     Done,
     /// It failed, by its own fault or the worker's.
@@ -143,7 +143,7 @@
 
 /// How a worker answered a hold.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum HoldOutcome {
+pub enum RenewOutcome {
     /// What runs and what has ended there.
     Held {
         /// Milliseconds of the worker's clock.
@@ -151,7 +151,7 @@
         /// All that runs.
         running: Vec<ListedRun>,
         /// Ends beyond those acknowledged, oldest first.
-        ended: Vec<ListedEnd>,
+        ended: Vec<RunCompletion>,
     },
     /// The fence was outranked.
     Fenced,
--- a/crates/core/src/dispatch/owner.rs
+++ b/crates/core/src/dispatch/owner.rs
@@ -56,12 +56,16 @@
 
 use super::fence::Fence;
 use super::job::{Job, Origin, Task, TaskState};
-use super::limits::{ADOPT_MS, LINK_SILENT_MS, REMEMBER_MS, RESUME_MS, RETRY_MS};
+use super::limits::{
+    ADOPTION_GRACE_MS, ENDED_JOB_RETENTION_MS, LINK_TIMEOUT_MS, ORIGIN_RECONNECT_GRACE_MS,
+    RETRY_BACKOFF_MAX_MS,
+};
 use super::order::{
-    EndKind, HoldOrder, JobKey, OrderOutcome, Rejection, StartOrder, StopOrder, Target, WorkerKey,
+    JobKey, OrderOutcome, Rejection, RenewOrder, RunOutcome, StartOrder, StopOrder, Target,
+    WorkerKey,
 };
 use super::ownership::{Predecessor, Roster};
-use super::worker::{RunOwner, RunState, Standing, Worker, WorkerRecord};
+use super::worker::{FencingState, RunOwner, RunState, Worker, WorkerRecord};
 pub use clearance::ClearedBy;
 pub use command::{Answered, Command, Ending};
 pub use figures::Sizes;
@@ -87,7 +91,7 @@
     run_times: run_times::RunTimes,
     answer_times: answer_times::AnswerTimes,
     /// Ends of tasks that no job here has claimed, with their instants.
-    orphan_ends: HashMap<Arc<str>, (EndKind, u64)>,
+    orphan_ends: HashMap<Arc<str>, (RunOutcome, u64)>,
     losses: crashes::Losses,
     /// Jobs that ended lately.
     ended: VecDeque<(u64, String, Outcome)>,
@@ -279,12 +283,12 @@
         self.refuse_hopeless(now_ms, out);
         self.settle(now_ms, out);
         self.judge_all(now_ms, out);
-        let old = |at_ms: u64| at_ms + REMEMBER_MS < now_ms;
+        let old = |at_ms: u64| at_ms + ENDED_JOB_RETENTION_MS < now_ms;
         while self.ended.front().is_some_and(|ended| old(ended.0)) {
             self.ended.pop_front();
         }
         self.orphan_ends
-            .retain(|_, end| end.1 + 4 * ADOPT_MS > now_ms);
+            .retain(|_, end| end.1 + 4 * ADOPTION_GRACE_MS > now_ms);
     }
 
     /// Refuses jobs of which nothing has run and that are of no use any more,
--- a/crates/core/src/dispatch/owner/adopt.rs
+++ b/crates/core/src/dispatch/owner/adopt.rs
@@ -13,7 +13,7 @@
                 .collect()
         };
         for (name, &index) in &names {
-            if let Some((EndKind::Done, _)) = self.orphan_ends.get(name) {
+            if let Some((RunOutcome::Done, _)) = self.orphan_ends.get(name) {
                 self.jobs[key].tasks[index].state = TaskState::Done;
                 self.jobs[key].started = true;
             }
--- a/crates/core/src/dispatch/owner/answer_times.rs
+++ b/crates/core/src/dispatch/owner/answer_times.rs
@@ -10,7 +10,7 @@
 //! A pause of this process delays every answer in flight; the deviation accounts for
 //! that, and the caller drains what has arrived before it times out.
 
-use super::super::limits::ANSWER_MAX_MS;
+use super::super::limits::ANSWER_TIMEOUT_MAX_MS;
 
 /// Weight of the newest answer in the moving averages.
 const WEIGHT: f64 = 0.05;
@@ -37,7 +37,7 @@
     /// Starts from the maximum timeout until samples arrive.
     fn default() -> Self {
         Self {
-            mean_ms: ANSWER_MAX_MS as f64,
+            mean_ms: ANSWER_TIMEOUT_MAX_MS as f64,
             deviation_ms: 0.0,
             lost_share: 0.0,
         }
@@ -65,7 +65,7 @@
             true => LOSSY_MIN_MS,
             false => ANSWER_MIN_MS,
         };
-        limit_ms.clamp(shortest_ms, ANSWER_MAX_MS as f64) as u64
+        limit_ms.clamp(shortest_ms, ANSWER_TIMEOUT_MAX_MS as f64) as u64
     }
 
     /// Whether many orders stay unanswered.
--- a/crates/core/src/dispatch/owner/answers.rs
+++ b/crates/core/src/dispatch/owner/answers.rs
@@ -53,7 +53,7 @@
                     // nothing against the worker.
                     let delay_ms = match answer.outcome {
                         OrderOutcome::Fenced => 0,
-                        _ => RETRY_MS,
+                        _ => RETRY_BACKOFF_MAX_MS,
                     };
                     self.requeue(now_ms, &run.owner, delay_ms);
                 }
@@ -86,7 +86,7 @@
     /// Another owner has taken the worker: this one is no longer the owner.
     pub(super) fn outranked(&mut self, now_ms: u64, key: WorkerKey, out: &mut Vec<Command>) {
         let worker = &mut self.workers[key];
-        worker.standing = Standing::Outranked;
+        worker.standing = FencingState::Outranked;
         out.push(Command::Note(Note::worker("outranked", worker)));
         out.push(Command::Outranked);
         self.release(now_ms, out);
--- a/crates/core/src/dispatch/owner/command.rs
+++ b/crates/core/src/dispatch/owner/command.rs
@@ -7,7 +7,7 @@
 use super::Note;
 use crate::dispatch::fence::Fence;
 use crate::dispatch::job::Origin;
-use crate::dispatch::order::{HoldOrder, OrderOutcome, StartOrder, StopOrder, WorkerKey};
+use crate::dispatch::order::{OrderOutcome, RenewOrder, StartOrder, StopOrder, WorkerKey};
 
 /// What the owner's shell must do.
 #[derive(Debug)]
@@ -17,7 +17,7 @@
     /// Send a stop.
     Stop(StopOrder),
     /// Send a hold.
-    Hold(HoldOrder),
+    Hold(RenewOrder),
     /// Tell the origin how its job ended.
     Ended {
         /// Who delegated it.
--- a/crates/core/src/dispatch/owner/ends.rs
+++ b/crates/core/src/dispatch/owner/ends.rs
@@ -1,6 +1,6 @@
 //! What an end means for its task, its job and its worker.
 
-use super::super::order::ListedEnd;
+use super::super::order::RunCompletion;
 use super::*;
 
 impl Owner {
@@ -9,7 +9,7 @@
         &mut self,
         now_ms: u64,
         key: WorkerKey,
-        end: &ListedEnd,
+        end: &RunCompletion,
         out: &mut Vec<Command>,
     ) {
         let Some(worker) = self.workers.get_mut(key) else {
@@ -26,7 +26,7 @@
         let run = worker.runs.swap_remove(position);
         let took_ms = now_ms.saturating_sub(run.ordered_ms);
         match end.how {
-            EndKind::Done => {
+            RunOutcome::Done => {
                 let slowness = worker.trust.slowness;
                 worker.trust.done(run.estimate_ms, took_ms);
                 if let RunOwner::Task(job, _) = run.owner
@@ -35,21 +35,23 @@
                     self.run_times.done(&job.spec.class, took_ms, slowness);
                 }
             }
-            EndKind::Failed => self.blame(now_ms, key, run.owner),
-            EndKind::Stopped | EndKind::Lapsed => {}
+            RunOutcome::Failed => self.blame(now_ms, key, run.owner),
+            RunOutcome::Stopped | RunOutcome::Lapsed => {}
         }
-        if end.how != EndKind::Done {
+        if end.how != RunOutcome::Done {
             let mut note = Note::job("run ended", &end.task);
             note.worker = self.workers[key].record.id.to_string();
             note.detail = format!("{:?} after {took_ms} ms", end.how);
             out.push(Command::Note(note));
         }
         match (end.how, run.owner) {
-            (EndKind::Done, RunOwner::Task(job, index)) => self.task_done(now_ms, job, index, out),
-            (EndKind::Failed, RunOwner::Task(job, index)) => {
+            (RunOutcome::Done, RunOwner::Task(job, index)) => {
+                self.task_done(now_ms, job, index, out)
+            }
+            (RunOutcome::Failed, RunOwner::Task(job, index)) => {
                 self.task_failed(now_ms, job, index, out);
             }
-            (EndKind::Done, RunOwner::Nobody { .. }) => self.take_orphan_end(now_ms, end, out),
+            (RunOutcome::Done, RunOwner::Nobody { .. }) => self.take_orphan_end(now_ms, end, out),
             (_, owner) => self.requeue(now_ms, &owner, 0),
         }
     }
@@ -81,11 +83,11 @@
     }
 
     /// An end of a run that is not known here: an earlier owner started it.
-    fn take_orphan_end(&mut self, now_ms: u64, end: &ListedEnd, out: &mut Vec<Command>) {
+    fn take_orphan_end(&mut self, now_ms: u64, end: &RunCompletion, out: &mut Vec<Command>) {
         match self.find_task(&end.task) {
             Some((job, index)) => {
                 let waits = self.jobs[job].tasks[index].waits();
-                if end.how == EndKind::Done && waits {
+                if end.how == RunOutcome::Done && waits {
                     self.task_done(now_ms, job, index, out);
                 }
             }
--- a/crates/core/src/dispatch/owner/figures.rs
+++ b/crates/core/src/dispatch/owner/figures.rs
@@ -38,7 +38,7 @@
     /// Load of the workers, for entries to choose by.
     pub fn load(&self, now_ms: u64) -> Load {
         let open = self.workers.values().filter(|worker| {
-            worker.standing == Standing::Fenced
+            worker.standing == FencingState::Fenced
                 && worker.announced
                 && !worker.has_left(now_ms)
                 && !worker.record.draining
@@ -63,7 +63,7 @@
 
     /// Counts for metrics and tests: jobs here, workers fenced, runs.
     pub fn sizes(&self) -> Sizes {
-        let fenced = |worker: &&Worker| worker.standing == Standing::Fenced;
+        let fenced = |worker: &&Worker| worker.standing == FencingState::Fenced;
         Sizes {
             jobs: self.jobs.len(),
             waiting: self.waiting_jobs(),
--- a/crates/core/src/dispatch/owner/holds.rs
+++ b/crates/core/src/dispatch/owner/holds.rs
@@ -6,9 +6,12 @@
 //! order and tells whether it was carried out before. While the worker does
 //! not answer, its runs are counted as running until their leases lapse.
 
-use super::super::limits::{ACK_IDLE_MS, ADOPT_MS, HOLD_WAIT_MS, LEASE_MAX_MS, LEASE_MS, PROBE_MS};
-use super::super::order::{HoldOutcome, ListedRun};
-use super::super::worker::{OpenHold, Run};
+use super::super::limits::{
+    ADOPTION_GRACE_MS, IDLE_ACK_DELAY_MS, IDLE_RETRY_BACKOFF_MAX_MS, LEASE_MAX_MS, LEASE_MS,
+    RENEW_WAIT_MS,
+};
+use super::super::order::{ListedRun, RenewOutcome};
+use super::super::worker::{OpenRenewal, Run};
 use super::*;
 
 impl Owner {
@@ -34,13 +37,13 @@
         }
         let started = |run: &Run| !matches!(run.state, RunState::Starting(_));
         let wait_ms = match worker.standing {
-            Standing::Outranked => return,
-            Standing::Unfenced => 0,
-            Standing::Fenced if worker.look_due => 0,
-            Standing::Fenced if worker.runs.iter().any(started) => HOLD_WAIT_MS,
-            Standing::Fenced if !worker.runs.is_empty() || !unacked => return,
-            Standing::Fenced if now_ms < worker.ended_ms + ACK_IDLE_MS => return,
-            Standing::Fenced => 0,
+            FencingState::Outranked => return,
+            FencingState::Unfenced => 0,
+            FencingState::Fenced if worker.look_due => 0,
+            FencingState::Fenced if worker.runs.iter().any(started) => RENEW_WAIT_MS,
+            FencingState::Fenced if !worker.runs.is_empty() || !unacked => return,
+            FencingState::Fenced if now_ms < worker.ended_ms + IDLE_ACK_DELAY_MS => return,
+            FencingState::Fenced => 0,
         };
         // Neither runs that are being stopped nor starts of unknown fate get more time.
         let running = |run: &Run| matches!(run.state, RunState::Running);
@@ -51,14 +54,14 @@
         };
         worker.look_due = false;
         worker.holds_sent += 1;
-        worker.hold = Some(OpenHold {
+        worker.hold = Some(OpenRenewal {
             number: worker.holds_sent,
             fence: worker.fence,
             ends_upto: worker.ends_upto,
             sent_ms: now_ms,
             wait_ms,
         });
-        out.push(Command::Hold(HoldOrder {
+        out.push(Command::Hold(RenewOrder {
             target: target_of(key, worker),
             number: worker.holds_sent,
             deadline_ms,
@@ -75,7 +78,7 @@
         key: WorkerKey,
         fence: Fence,
         number: u64,
-        outcome: HoldOutcome,
+        outcome: RenewOutcome,
         out: &mut Vec<Command>,
     ) {
         if !fence.same_ownership(self.fence) {
@@ -84,7 +87,7 @@
         let Some(worker) = self.workers.get_mut(key) else {
             return;
         };
-        if outcome == HoldOutcome::OtherLife {
+        if outcome == RenewOutcome::OtherLife {
             self.life_over(now_ms, key, out);
             return self.settle(now_ms, out);
         }
@@ -97,15 +100,15 @@
             return self.settle(now_ms, out);
         }
         match outcome {
-            HoldOutcome::Held {
+            RenewOutcome::Held {
                 clock_ms,
                 running,
                 ended,
             } => {
                 worker.read_clock(now_ms, clock_ms);
-                let is_back = worker.standing == Standing::Unfenced;
+                let is_back = worker.standing == FencingState::Unfenced;
                 if is_back {
-                    worker.standing = Standing::Fenced;
+                    worker.standing = FencingState::Fenced;
                     out.push(Command::Note(Note::worker("fenced", worker)));
                 }
                 if self.clearance.fenced(&worker.record.id) {
@@ -126,16 +129,16 @@
                     self.acquit_tasks(key);
                 }
             }
-            HoldOutcome::Fenced => self.outranked(now_ms, key, out),
-            HoldOutcome::OtherLife => {}
-            HoldOutcome::Unhealthy | HoldOutcome::NoAnswer => {
-                if worker.standing == Standing::Fenced {
+            RenewOutcome::Fenced => self.outranked(now_ms, key, out),
+            RenewOutcome::OtherLife => {}
+            RenewOutcome::Unhealthy | RenewOutcome::NoAnswer => {
+                if worker.standing == FencingState::Fenced {
                     out.push(Command::Note(Note::worker(
                         "lease renewal unanswered",
                         worker,
                     )));
                 }
-                worker.standing = Standing::Unfenced;
+                worker.standing = FencingState::Unfenced;
                 worker.silent = true;
                 worker.missed(now_ms);
                 self.answer_times.unanswered();
@@ -149,10 +152,10 @@
         &mut self,
         now_ms: u64,
         key: WorkerKey,
-        outcome: HoldOutcome,
+        outcome: RenewOutcome,
         out: &mut Vec<Command>,
     ) {
-        if let HoldOutcome::Held { ended, .. } = outcome {
+        if let RenewOutcome::Held { ended, .. } = outcome {
             for end in ended {
                 self.take_end(now_ms, key, &end, out);
             }
@@ -166,7 +169,7 @@
         &mut self,
         now_ms: u64,
         key: WorkerKey,
-        hold: OpenHold,
+        hold: OpenRenewal,
         running: &[ListedRun],
         out: &mut Vec<Command>,
     ) {
@@ -240,7 +243,7 @@
             }
             None => {
                 // A second run of a task that runs elsewhere is stopped at once.
-                let grace_ms = if task.is_some() { 0 } else { ADOPT_MS };
+                let grace_ms = if task.is_some() { 0 } else { ADOPTION_GRACE_MS };
                 let stop_at_ms = now_ms + grace_ms;
                 (RunOwner::Nobody { stop_at_ms }, None, 0)
             }
@@ -263,7 +266,9 @@
             patience: place::patience(expected_ms, 0),
         });
         // The earlier owner may have renewed its lease just before.
-        worker.lapsed_at_ms = worker.lapsed_at_ms.max(now_ms + LEASE_MAX_MS + PROBE_MS);
+        worker.lapsed_at_ms = worker
+            .lapsed_at_ms
+            .max(now_ms + LEASE_MAX_MS + IDLE_RETRY_BACKOFF_MAX_MS);
         self.dirty.insert(key);
     }
 
@@ -289,7 +294,7 @@
     fn expire_leases(&mut self, now_ms: u64, out: &mut Vec<Command>) {
         let mut lost = Vec::new();
         for (key, worker) in &mut self.workers {
-            let answers = worker.standing == Standing::Fenced;
+            let answers = worker.standing == FencingState::Fenced;
             if answers || worker.runs.is_empty() || now_ms < worker.lapsed_at_ms {
                 continue;
             }
--- a/crates/core/src/dispatch/owner/judge.rs
+++ b/crates/core/src/dispatch/owner/judge.rs
@@ -136,7 +136,7 @@
         let mut forecast = Forecast::new(now_ms);
         let usable = self.workers.values();
         for worker in usable.filter(|worker| worker.takes_tasks_soon(now_ms)) {
-            if worker.standing == Standing::Unfenced {
+            if worker.standing == FencingState::Unfenced {
                 forecast.frees(now_ms + FENCING_MS, worker.free().cpu_millicores);
             }
             for run in &worker.runs {
--- a/crates/core/src/dispatch/owner/origins.rs
+++ b/crates/core/src/dispatch/owner/origins.rs
@@ -14,7 +14,7 @@
         match origin {
             Some(origin @ Origin::Link(_)) => {
                 let alive_ms = self.alive_ms.get(&origin).copied().unwrap_or(now_ms);
-                now_ms.saturating_sub(alive_ms + LINK_SILENT_MS)
+                now_ms.saturating_sub(alive_ms + LINK_TIMEOUT_MS)
             }
             Some(Origin::Local) | None => 0,
         }
@@ -48,7 +48,7 @@
     /// Ends the jobs of origins that have not come back in time.
     pub(super) fn expire_origins(&mut self, now_ms: u64, out: &mut Vec<Command>) {
         while let Some(&(lost_ms, origin)) = self.lost_origins.front()
-            && now_ms >= lost_ms + RESUME_MS
+            && now_ms >= lost_ms + ORIGIN_RECONNECT_GRACE_MS
         {
             self.lost_origins.pop_front();
             self.origin_gone(now_ms, origin, out);
--- a/crates/core/src/dispatch/owner/overdue.rs
+++ b/crates/core/src/dispatch/owner/overdue.rs
@@ -5,7 +5,7 @@
 //! listed as running is taken for stalled and stopped. Stops whose end is not
 //! listed are ordered again.
 
-use super::super::worker::{Patience, Run};
+use super::super::worker::{Run, RunTimeouts};
 use super::*;
 
 /// A stop whose end is not listed by then is ordered again: the contract
@@ -40,7 +40,7 @@
         (RunState::Stopping { ordered_ms }, _) if passed(ordered_ms, STOP_AGAIN_MS) => Due::Stop,
         (RunState::Running, RunOwner::Nobody { stop_at_ms }) if now_ms >= stop_at_ms => Due::Stop,
         (RunState::Running, RunOwner::Task(job, index)) => {
-            let Patience { check_ms, stall_ms } = run.patience;
+            let RunTimeouts { check_ms, stall_ms } = run.patience;
             let (check_ms, again) = match is_lossy {
                 true => (
                     check_ms.min(run.expected_ms),
@@ -70,7 +70,7 @@
         let answer_ms = self.answer_times.limit_ms();
         let is_lossy = self.answer_times.is_lossy();
         let worker = &mut self.workers[key];
-        if worker.standing != Standing::Fenced {
+        if worker.standing != FencingState::Fenced {
             return;
         }
         let target = target_of(key, worker);
--- a/crates/core/src/dispatch/owner/place.rs
+++ b/crates/core/src/dispatch/owner/place.rs
@@ -6,7 +6,7 @@
 use trefoil_schema::dispatch::Phase;
 
 use super::super::limits::START_LEASE_MS;
-use super::super::worker::{Patience, Room, Run};
+use super::super::worker::{Resources, Run, RunTimeouts};
 use super::shares::Shares;
 use super::*;
 
@@ -34,18 +34,18 @@
 
 /// How long a run may take. Each stall of its task doubles the time after which
 /// it is taken for stalled: then the estimate may be wrong, and not the worker.
-pub(super) fn patience(expected_ms: u64, stalls: u32) -> Patience {
+pub(super) fn patience(expected_ms: u64, stalls: u32) -> RunTimeouts {
     let times = |factor: f64| (expected_ms as f64 * factor) as u64;
     let once_ms = times(STALL_FACTOR) + STALL_SLACK_MS;
-    Patience {
+    RunTimeouts {
         check_ms: times(CHECK_FACTOR) + CHECK_SLACK_MS,
         stall_ms: once_ms << stalls.min(STALLS_MAX),
     }
 }
 
 /// What a task of a phase takes.
-pub(super) fn room_of(phase: &Phase) -> Room {
-    Room {
+pub(super) fn room_of(phase: &Phase) -> Resources {
+    Resources {
         cpu_millicores: phase.cpu_millicores,
         memory_mb: phase.memory_mb,
         gpus: phase.gpus,
@@ -55,7 +55,7 @@
 /// A worker that takes tasks, and the room left there.
 pub(super) struct Open {
     pub(super) key: WorkerKey,
-    pub(super) free: Room,
+    pub(super) free: Resources,
     runs: usize,
     /// Whether a suspect task is among them.
     has_suspect: bool,
@@ -200,7 +200,7 @@
         job: &Job,
         index: usize,
         phase: &Phase,
-        room: &Room,
+        room: &Resources,
         now_ms: u64,
     ) -> Option<f64> {
         let worker = &self.workers[open.key];
--- a/crates/core/src/dispatch/owner/reserve.rs
+++ b/crates/core/src/dispatch/owner/reserve.rs
@@ -7,7 +7,7 @@
 //! nothing. So once it is late, the workers that will soonest have room for its
 //! tasks take nothing else. Only late jobs are worth that: kept room is idle.
 
-use super::super::worker::Room;
+use super::super::worker::Resources;
 use super::place::{Open, room_of};
 use super::queue::{Lateness, lateness};
 use super::*;
@@ -27,7 +27,7 @@
         }
         let tasks = job.tasks.iter().filter(|task| task.waits());
         let tasks = tasks.take(KEPT_MAX);
-        let rooms: Vec<Room> = tasks.map(|task| room_of(job.phase(task))).collect();
+        let rooms: Vec<Resources> = tasks.map(|task| room_of(job.phase(task))).collect();
         let Some(room) = rooms.first() else {
             return;
         };
@@ -39,7 +39,7 @@
         soonest.sort_unstable();
         for (_, kept) in soonest.into_iter().take(rooms.len()) {
             if let Some(open) = open.iter_mut().find(|open| open.key == kept) {
-                open.free = Room::default();
+                open.free = Resources::default();
             }
         }
     }
@@ -47,8 +47,8 @@
 
 /// When a worker has so much room, by the expected ends of its runs; none if it
 /// never has.
-fn free_at_ms(worker: &Worker, room: &Room) -> Option<u64> {
-    let mut runs: Vec<(u64, Room)> = worker
+fn free_at_ms(worker: &Worker, room: &Resources) -> Option<u64> {
+    let mut runs: Vec<(u64, Resources)> = worker
         .runs
         .iter()
         .map(|run| {
--- a/crates/core/src/dispatch/ownership.rs
+++ b/crates/core/src/dispatch/ownership.rs
@@ -26,9 +26,9 @@
 
 use trefoil_schema::dispatch::{Claim, Holder, Node};
 
-use super::limits::{CLAIM_STAGGER_MS, CLAIM_STORE_MS};
+use super::limits::{CLAIM_STAGGER_MS, CLAIM_STORE_TIMEOUT_MS};
 use super::pool;
-pub use claiming::ClaimWrite;
+pub use claiming::ClaimWriteOutcome;
 use claiming::Writing;
 use peers::Peer;
 pub use roster::{ClaimRecord, Predecessor, Roster, holder_of};
@@ -292,7 +292,7 @@
             return;
         }
         if let Some(writing) = &mut self.writing {
-            if now_ms >= writing.sent_ms + CLAIM_STORE_MS {
+            if now_ms >= writing.sent_ms + CLAIM_STORE_TIMEOUT_MS {
                 // Its record may replace a later one by now.
                 writing.predecessor = None;
                 match self.reaches_most() {
--- a/crates/core/src/dispatch/ownership/candidates.rs
+++ b/crates/core/src/dispatch/ownership/candidates.rs
@@ -6,7 +6,9 @@
 
 use super::peers::LinkState;
 use super::{Ownership, Peer, Pool};
-use crate::dispatch::limits::{CLAIM_STAGGER_MS, OWNER_LOST_MS, YIELD_AFTER_MS, YIELD_FACTOR};
+use crate::dispatch::limits::{
+    CLAIM_STAGGER_MS, OWNER_LOST_TIMEOUT_MS, YIELD_AFTER_MS, YIELD_FACTOR,
+};
 
 /// Time for an owner without a link to answer a dial, from when its claim is known.
 const NEVER_LINKED_MS: u64 = 700;
@@ -56,7 +58,7 @@
                 peer.leaving || !same_life || pool.yielded && self.is_stronger_than(owner)
             }
             LinkState::Broken if peer.changed_ms >= pool.learned_ms => {
-                now_ms >= peer.changed_ms + OWNER_LOST_MS
+                now_ms >= peer.changed_ms + OWNER_LOST_TIMEOUT_MS
             }
             LinkState::Broken | LinkState::Absent => {
                 let since_ms = peer.changed_ms.max(pool.learned_ms).max(self.started_ms);
--- a/crates/core/src/dispatch/ownership/claiming.rs
+++ b/crates/core/src/dispatch/ownership/claiming.rs
@@ -5,7 +5,7 @@
 
 /// What became of writing a claim.
 #[derive(Clone, Debug, PartialEq)]
-pub enum ClaimWrite {
+pub enum ClaimWriteOutcome {
     /// The store holds it.
     Written {
         /// Its revision.
@@ -49,7 +49,7 @@
         &mut self,
         now_ms: u64,
         record: &ClaimRecord,
-        write: &ClaimWrite,
+        write: &ClaimWriteOutcome,
         out: &mut Vec<Command>,
     ) {
         let claim = &record.claim;
@@ -59,27 +59,27 @@
             pool.used.is_on_its_way = false;
         }
         match write {
-            ClaimWrite::Written { revision } => {
+            ClaimWriteOutcome::Written { revision } => {
                 self.stored(record, *revision, out);
                 if pending {
                     self.acquire(out);
                 }
             }
-            ClaimWrite::Conflict if pending => {
+            ClaimWriteOutcome::Conflict if pending => {
                 self.writing = None;
                 if let Some(pool) = self.pools.get_mut(&claim.pool) {
                     // The store is read meanwhile; other pools have their turn.
                     pool.quiet_until_ms = now_ms + CLAIM_STAGGER_MS;
                 }
             }
-            ClaimWrite::NoAnswer if pending => {
+            ClaimWriteOutcome::NoAnswer if pending => {
                 // Its fate is unknown; the next tick decides without the store.
                 if let Some(writing) = &mut self.writing {
-                    let waited_ms = now_ms.saturating_sub(CLAIM_STORE_MS);
+                    let waited_ms = now_ms.saturating_sub(CLAIM_STORE_TIMEOUT_MS);
                     writing.sent_ms = writing.sent_ms.min(waited_ms);
                 }
             }
-            ClaimWrite::Conflict | ClaimWrite::NoAnswer => {}
+            ClaimWriteOutcome::Conflict | ClaimWriteOutcome::NoAnswer => {}
         }
     }
 
--- a/crates/core/src/dispatch/worker.rs
+++ b/crates/core/src/dispatch/worker.rs
@@ -10,7 +10,10 @@
 use std::sync::Arc;
 
 use super::fence::Fence;
-use super::limits::{CLOCK_SLOW, PROBE_MS, REGISTRY_GAP_MS, RETRY_MIN_MS, RETRY_MS};
+use super::limits::{
+    CLOCK_DRIFT_MAX, IDLE_RETRY_BACKOFF_MAX_MS, RETRY_BACKOFF_MAX_MS, RETRY_BACKOFF_MIN_MS,
+    UNLISTED_GRACE_MS,
+};
 use super::order::JobKey;
 
 /// What the platform's registry says of a worker.
@@ -27,14 +30,14 @@
     /// Whether it leaves soon and takes nothing new.
     pub draining: bool,
     /// Room for tasks.
-    pub capacity: Room,
+    pub capacity: Resources,
     /// Its kind, its rack.
     pub labels: BTreeSet<Arc<str>>,
 }
 
 /// Resources of a worker or a task.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Room {
+pub struct Resources {
     /// Thousandths of a core.
     pub cpu_millicores: u64,
     /// Megabytes of memory.
@@ -43,7 +46,7 @@
     pub gpus: u64,
 }
 
-impl Room {
+impl Resources {
     /// Whether `other` fits into this.
     pub fn fits(&self, other: &Self) -> bool {
         self.cpu_millicores >= other.cpu_millicores
@@ -110,7 +113,7 @@
     /// How far it has come.
     pub state: RunState,
     /// What it takes; unknown of an earlier owner's runs.
-    pub room: Option<Room>,
+    pub room: Option<Resources>,
     /// When its start was ordered.
     pub ordered_ms: u64,
     /// When it was first known to be there, by an answer.
@@ -120,12 +123,12 @@
     /// How long it should take here.
     pub expected_ms: u64,
     /// How long it may take before something is done about it.
-    pub patience: Patience,
+    pub patience: RunTimeouts,
 }
 
 /// How long a run may take.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Patience {
+pub struct RunTimeouts {
     /// After this time its end should have been told: the worker is asked.
     pub check_ms: u64,
     /// After this time it is taken for stalled.
@@ -134,7 +137,7 @@
 
 /// Whether the worker can be ordered.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Standing {
+pub enum FencingState {
     /// It has not yet answered a hold under the present fence.
     Unfenced,
     /// It has; what runs there is known.
@@ -145,7 +148,7 @@
 
 /// The hold that is on its way or open at the worker.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct OpenHold {
+pub struct OpenRenewal {
     /// Tells it apart from earlier ones.
     pub number: u64,
     /// Fence that it went out with.
@@ -168,13 +171,13 @@
     /// Highest fence used there.
     pub fence: Fence,
     /// Whether it can be ordered.
-    pub standing: Standing,
+    pub standing: FencingState,
     /// Whether the owner may use it: a successor would know that it did.
     pub announced: bool,
     /// What may run there.
     pub runs: Vec<Run>,
     /// The hold that is open, if any.
-    pub hold: Option<OpenHold>,
+    pub hold: Option<OpenRenewal>,
     /// Holds sent so far.
     pub holds_sent: u64,
     /// Whether it is to be asked at once what runs there, beside the open hold.
@@ -199,7 +202,7 @@
     /// When all leases granted so far have lapsed.
     pub lapsed_at_ms: u64,
     /// Recent evidence on it.
-    pub trust: Trust,
+    pub trust: WorkerHealth,
 }
 
 impl Worker {
@@ -209,7 +212,7 @@
             record,
             unlisted_ms: None,
             fence,
-            standing: Standing::Unfenced,
+            standing: FencingState::Unfenced,
             announced: true,
             runs: Vec::new(),
             hold: None,
@@ -224,17 +227,17 @@
             ended_ms: 0,
             clock: None,
             lapsed_at_ms: 0,
-            trust: Trust::default(),
+            trust: WorkerHealth::default(),
         }
     }
 
     /// Room beside all that may run there; none with a run of unknown size.
-    pub fn free(&self) -> Room {
+    pub fn free(&self) -> Resources {
         let mut free = self.record.capacity;
         for run in &self.runs {
             match run.room {
                 Some(room) => free = free.minus(&room),
-                None => return Room::default(),
+                None => return Resources::default(),
             }
         }
         free
@@ -243,12 +246,12 @@
     /// Whether the registry has not listed it for so long that it has left.
     pub fn has_left(&self, now_ms: u64) -> bool {
         let since_ms = self.unlisted_ms;
-        since_ms.is_some_and(|since_ms| now_ms >= since_ms + REGISTRY_GAP_MS)
+        since_ms.is_some_and(|since_ms| now_ms >= since_ms + UNLISTED_GRACE_MS)
     }
 
     /// Whether new tasks may go there.
     pub fn is_open(&self, now_ms: u64) -> bool {
-        self.standing == Standing::Fenced
+        self.standing == FencingState::Fenced
             && self.announced
             && !self.has_left(now_ms)
             && !self.record.draining
@@ -258,7 +261,7 @@
     /// Whether new tasks may go there, or may once it has answered a call that
     /// is on its way.
     pub fn takes_tasks_soon(&self, now_ms: u64) -> bool {
-        self.standing != Standing::Outranked
+        self.standing != FencingState::Outranked
             && !self.silent
             && !self.has_left(now_ms)
             && !self.record.draining
@@ -267,11 +270,11 @@
 
     /// A hold had no answer: when the next one may go out.
     pub fn missed(&mut self, now_ms: u64) {
-        let pause_ms = RETRY_MIN_MS << self.misses.min(8);
+        let pause_ms = RETRY_BACKOFF_MIN_MS << self.misses.min(8);
         self.misses += 1;
         let longest_ms = match self.runs.is_empty() {
-            true => PROBE_MS,
-            false => RETRY_MS,
+            true => IDLE_RETRY_BACKOFF_MAX_MS,
+            false => RETRY_BACKOFF_MAX_MS,
         };
         self.quiet_until_ms = now_ms + pause_ms.min(longest_ms);
     }
@@ -294,7 +297,7 @@
     pub fn clock_ms(&self, now_ms: u64) -> Option<u64> {
         let (clock_ms, read_ms) = self.clock?;
         let since_ms = now_ms.saturating_sub(read_ms) as f64;
-        Some(clock_ms + (since_ms * (1.0 - CLOCK_SLOW)) as u64)
+        Some(clock_ms + (since_ms * (1.0 - CLOCK_DRIFT_MAX)) as u64)
     }
 
     /// A deadline for an order that goes out now, and notes the lease of
@@ -302,7 +305,7 @@
     pub fn lease(&mut self, now_ms: u64, lease_ms: u64, cut_ms: u64) -> Option<u64> {
         let lease_ms = lease_ms.checked_sub(cut_ms)?;
         let deadline_ms = self.clock_ms(now_ms)? + lease_ms;
-        let longest_ms = (lease_ms as f64 / (1.0 - CLOCK_SLOW)) as u64 + 1;
+        let longest_ms = (lease_ms as f64 / (1.0 - CLOCK_DRIFT_MAX)) as u64 + 1;
         self.lapsed_at_ms = self.lapsed_at_ms.max(now_ms + longest_ms);
         Some(deadline_ms)
     }
@@ -315,7 +318,7 @@
     /// Raises the fence: earlier orders of unknown fate die with the next hold.
     pub fn raise(&mut self) {
         self.fence = self.fence.raised();
-        self.standing = Standing::Unfenced;
+        self.standing = FencingState::Unfenced;
     }
 }
 
@@ -334,14 +337,14 @@
 /// and workers that fail everything start everything that they are given.
 /// After the pause one task at a time goes there until one is done.
 #[derive(Clone, Debug)]
-pub struct Trust {
+pub struct WorkerHealth {
     failures: u32,
     paused_until_ms: u64,
     /// Run times there against the estimates; 1 is as estimated.
     pub slowness: f64,
 }
 
-impl Default for Trust {
+impl Default for WorkerHealth {
     fn default() -> Self {
         Self {
             failures: 0,
@@ -351,7 +354,7 @@
     }
 }
 
-impl Trust {
+impl WorkerHealth {
     /// Whether one more task may go there beside `runs` others.
     pub fn admits(&self, now_ms: u64, runs: usize) -> bool {
         self.failures == 0 || (now_ms >= self.paused_until_ms && runs == 0)
--- a/crates/core/tests/dispatch_admission.rs
+++ b/crates/core/tests/dispatch_admission.rs
@@ -4,7 +4,7 @@
 
 use dispatch_support::orders::{LINK, answer_hold, answer_start, done, ended, fenced_owner, held};
 use dispatch_support::{SimWorker, holds, job, starts};
-use trefoil_core::dispatch::order::{EndKind, OrderOutcome, StartOrder};
+use trefoil_core::dispatch::order::{OrderOutcome, RunOutcome, StartOrder};
 use trefoil_core::dispatch::owner::{Command, Owner};
 use trefoil_schema::dispatch::{Job, Outcome};
 
@@ -25,7 +25,7 @@
 
 /// Ends a run; what the owner does then.
 fn end(owner: &mut Owner, now_ms: u64, order: &StartOrder, number: u64) -> Vec<Command> {
-    end_as(owner, now_ms, order, number, EndKind::Done)
+    end_as(owner, now_ms, order, number, RunOutcome::Done)
 }
 
 fn end_as(
@@ -33,7 +33,7 @@
     now_ms: u64,
     order: &StartOrder,
     number: u64,
-    how: EndKind,
+    how: RunOutcome,
 ) -> Vec<Command> {
     let clock_ms = SimWorker::new("w", 50_000, 0).clock_ms(now_ms);
     let out = answer_start(owner, now_ms - 1, order, OrderOutcome::Done { clock_ms });
@@ -150,10 +150,10 @@
         ..job("hopeless", 1, 100)
     };
     let first = starts(&delegate(&mut owner, 10, hopeless));
-    let out = end_as(&mut owner, 50, &first[0], 1, EndKind::Failed);
+    let out = end_as(&mut owner, 50, &first[0], 1, RunOutcome::Failed);
     let second = starts(&out);
     assert_ne!(second[0].target.worker, first[0].target.worker);
-    end_as(&mut owner, 90, &second[0], 1, EndKind::Failed);
+    end_as(&mut owner, 90, &second[0], 1, RunOutcome::Failed);
     // Both workers would be paused for 250 ms otherwise; one of the four tasks
     // that fit there is the third attempt.
     let started = starts(&delegate(&mut owner, 91, job("sound", 3, 100)));
@@ -180,7 +180,7 @@
     let others = first.iter().filter(|start| start.target.worker != one);
     for start in on(one).take(1).chain(others.take(1)) {
         number += 1;
-        let out = end_as(&mut owner, 50 + number, start, 1, EndKind::Failed);
+        let out = end_as(&mut owner, 50 + number, start, 1, RunOutcome::Failed);
         started.extend(starts(&out));
     }
     assert!(started.len() <= 1, "two still run: {started:?}");
--- a/crates/core/tests/dispatch_crashes.rs
+++ b/crates/core/tests/dispatch_crashes.rs
@@ -7,9 +7,11 @@
 
 use dispatch_support::orders::{LINK, answer_hold, answer_start, fenced_owner};
 use dispatch_support::{SimWorker, holds, job, record, starts, stops};
-use trefoil_core::dispatch::order::{HoldOrder, HoldOutcome, OrderOutcome, StartOrder, StopOrder};
+use trefoil_core::dispatch::order::{
+    OrderOutcome, RenewOrder, RenewOutcome, StartOrder, StopOrder,
+};
 use trefoil_core::dispatch::owner::{Answered, Command, Owner};
-use trefoil_core::dispatch::worker::Room;
+use trefoil_core::dispatch::worker::Resources;
 use trefoil_schema::dispatch::Outcome;
 
 const TICK_MS: u64 = 25;
@@ -21,7 +23,7 @@
 enum Order {
     Start(StartOrder),
     Stop(StopOrder),
-    Hold(HoldOrder),
+    Hold(RenewOrder),
 }
 
 /// An owner and its workers in virtual time.
@@ -147,7 +149,7 @@
             Order::Hold(hold) => {
                 let worker = living(&hold.target.worker_id);
                 let outcome =
-                    worker.map_or(HoldOutcome::NoAnswer, |worker| worker.hold(now_ms, &hold));
+                    worker.map_or(RenewOutcome::NoAnswer, |worker| worker.hold(now_ms, &hold));
                 answer_hold(&mut self.owner, now_ms, &hold, outcome)
             }
         }
@@ -308,7 +310,7 @@
     let mut pool = Pool::new(&["w1"]);
     pool.delegate("a", 2);
     let mut shrunk = record("w1");
-    shrunk.capacity = Room {
+    shrunk.capacity = Resources {
         cpu_millicores: 1000,
         ..shrunk.capacity
     };
--- a/crates/core/tests/dispatch_entry.rs
+++ b/crates/core/tests/dispatch_entry.rs
@@ -3,17 +3,17 @@
 mod dispatch_support;
 
 use dispatch_support::job;
-use trefoil_core::dispatch::entry::{Answer, Cause, Command, Entry, Owned};
+use trefoil_core::dispatch::entry::{Answer, Command, Entry, PoolOwner, RevocationCause};
 use trefoil_core::dispatch::limits::{
-    BEAT_MS, DELEGATED_GAP_MS, LINK_SILENT_MS, OWNER_FOLLOWS_MS, UNPLACED_MAX_MS,
+    HEARTBEAT_MS, LINK_TIMEOUT_MS, PLACEMENT_TIMEOUT_MS, REDELEGATION_DELAY_MS, VACANT_POOL_WAIT_MS,
 };
 use trefoil_core::dispatch::owner::Ending;
 use trefoil_schema::dispatch::{Claim, Load, Node, Outcome};
 
 const FAR_MS: u64 = 1_000_000;
 
-fn owned(pool: &str, owner: &str) -> Owned {
-    Owned {
+fn owned(pool: &str, owner: &str) -> PoolOwner {
+    PoolOwner {
         pool: pool.to_owned(),
         owner: owner.to_owned(),
     }
@@ -74,7 +74,7 @@
     out
 }
 
-fn delegated(commands: &[Command]) -> Vec<(Owned, u64, Option<String>)> {
+fn delegated(commands: &[Command]) -> Vec<(PoolOwner, u64, Option<String>)> {
     let delegated = commands.iter().filter_map(|command| match command {
         Command::Delegate {
             to,
@@ -132,7 +132,7 @@
     let out = seen(&mut entry, 120, "forde/0", "c", 0);
     let expected = (
         owned("forde/0", "c"),
-        DELEGATED_GAP_MS - 20,
+        REDELEGATION_DELAY_MS - 20,
         Some("a".to_owned()),
     );
     assert_eq!(delegated(&out), [expected]);
@@ -142,7 +142,7 @@
     assert_eq!(delegated(&out)[0].2, None);
     entry.owner_lost(200, "d", &mut Vec::new());
     let mut out = Vec::new();
-    entry.tick(200 + DELEGATED_GAP_MS, &mut out);
+    entry.tick(200 + REDELEGATION_DELAY_MS, &mut out);
     assert_eq!(delegated(&out)[0].0, owned("bergen/0", "b"));
 }
 
@@ -155,7 +155,7 @@
         let mut out = Vec::new();
         entry.ended(2, &owned("forde/0", "a"), &ending("x", outcome), &mut out);
         entry.owner_lost(3, "a", &mut out);
-        entry.tick(3 + UNPLACED_MAX_MS, &mut out);
+        entry.tick(3 + PLACEMENT_TIMEOUT_MS, &mut out);
         let (_, answer) = answers(&out)[0];
         assert_eq!(matches!(answer, Answer::MayHaveRun { .. }), may_have_run);
         assert_eq!(matches!(answer, Answer::NotRun { .. }), !may_have_run);
@@ -246,13 +246,13 @@
     let out = seen(&mut entry, 100, "forde/1", "b", 0);
     assert_eq!(delegated(&out)[0].0, owned("forde/1", "b"));
     let from = owned("forde/1", "b");
-    entry.pool_lost(101, &from, Cause::OwnerChanged, &mut Vec::new());
+    entry.pool_lost(101, &from, RevocationCause::OwnerChanged, &mut Vec::new());
     let out = refused(&mut entry, 102, "forde/0", "a", "y");
     assert!(out.iter().all(silent));
     let mut out = Vec::new();
-    entry.tick(1 + OWNER_FOLLOWS_MS - 1, &mut out);
+    entry.tick(1 + VACANT_POOL_WAIT_MS - 1, &mut out);
     assert!(answers(&out).is_empty());
-    entry.tick(1 + OWNER_FOLLOWS_MS, &mut out);
+    entry.tick(1 + VACANT_POOL_WAIT_MS, &mut out);
     let (ticket, answer) = answers(&out)[0];
     assert!(matches!((ticket, answer), (1, Answer::NotRun { .. })));
 }
@@ -265,8 +265,8 @@
     let mut entry = Entry::new("forde");
     let mut sent_to_silent = 0;
     seen_wide(&mut entry, 0, "bergen/0", "b");
-    for now_ms in (0..LINK_SILENT_MS).step_by(10) {
-        if now_ms.is_multiple_of(BEAT_MS) {
+    for now_ms in (0..LINK_TIMEOUT_MS).step_by(10) {
+        if now_ms.is_multiple_of(HEARTBEAT_MS) {
             seen_wide(&mut entry, now_ms, "stavanger/0", "s");
         }
         let id = format!("{now_ms:x}");
@@ -282,7 +282,7 @@
 fn a_silent_owner_is_used_where_there_is_no_other() {
     let mut entry = Entry::new("forde");
     seen(&mut entry, 0, "forde/0", "a", 0);
-    let out = submit(&mut entry, LINK_SILENT_MS, 1, "j");
+    let out = submit(&mut entry, LINK_TIMEOUT_MS, 1, "j");
     assert!(matches!(&out[..], [Command::Delegate { to, .. }] if to.owner == "a"));
 }
 
@@ -290,8 +290,8 @@
 fn an_entry_that_stood_still_takes_no_owner_for_silent() {
     let mut entry = Entry::new("forde");
     seen(&mut entry, 0, "forde/0", "a", 0);
-    entry.extend_silence_limits(LINK_SILENT_MS);
-    seen(&mut entry, LINK_SILENT_MS, "bergen/0", "b", 0);
-    let out = submit(&mut entry, LINK_SILENT_MS, 1, "j");
+    entry.extend_silence_limits(LINK_TIMEOUT_MS);
+    seen(&mut entry, LINK_TIMEOUT_MS, "bergen/0", "b", 0);
+    let out = submit(&mut entry, LINK_TIMEOUT_MS, 1, "j");
     assert!(matches!(&out[..], [Command::Delegate { to, .. }] if to.owner == "a"));
 }
--- a/crates/core/tests/dispatch_history/events.rs
+++ b/crates/core/tests/dispatch_history/events.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 
 use trefoil_core::dispatch::order::{
-    HoldOrder, HoldOutcome, OrderOutcome, StartOrder, StopOrder, Target,
+    OrderOutcome, RenewOrder, RenewOutcome, StartOrder, StopOrder, Target,
 };
 use trefoil_core::dispatch::owner::Answered;
 use trefoil_core::dispatch::ownership::Roster;
@@ -15,7 +15,7 @@
 pub enum Order {
     Start(StartOrder),
     Stop(StopOrder),
-    Hold(HoldOrder),
+    Hold(RenewOrder),
 }
 
 #[derive(Clone, Debug)]
@@ -39,8 +39,8 @@
     },
     Hold {
         owner: usize,
-        order: HoldOrder,
-        outcome: HoldOutcome,
+        order: RenewOrder,
+        outcome: RenewOutcome,
     },
     Tick {
         owner: usize,
@@ -145,7 +145,7 @@
         Order::Hold(order) => Event::Hold {
             owner,
             order,
-            outcome: HoldOutcome::NoAnswer,
+            outcome: RenewOutcome::NoAnswer,
         },
     }
 }
--- a/crates/core/tests/dispatch_history/world.rs
+++ b/crates/core/tests/dispatch_history/world.rs
@@ -5,7 +5,7 @@
 
 use arbtest::arbitrary::{self, Unstructured};
 use trefoil_core::dispatch::job::Origin;
-use trefoil_core::dispatch::limits::{DELEGATED_GAP_MS, LINK_SILENT_MS};
+use trefoil_core::dispatch::limits::{LINK_TIMEOUT_MS, REDELEGATION_DELAY_MS};
 use trefoil_core::dispatch::owner::{Command, Owner};
 use trefoil_core::dispatch::ownership::Roster;
 use trefoil_schema::dispatch::Outcome;
@@ -329,7 +329,7 @@
         if may_run {
             let is_only = self.now_ms >= job.unsafe_until_ms || job.unsafe_owner == Some(job.owner);
             job.unsafe_owner = Some(job.owner).filter(|_| is_only);
-            job.unsafe_until_ms = self.now_ms + DELEGATED_GAP_MS;
+            job.unsafe_until_ms = self.now_ms + REDELEGATION_DELAY_MS;
         }
         job.owner = next;
     }
@@ -395,7 +395,7 @@
             self.acts[lost] = false;
         } else {
             let late_ms = self.choices.int_in_range(0..=800)?;
-            let notice_ms = self.now_ms + LINK_SILENT_MS + late_ms;
+            let notice_ms = self.now_ms + LINK_TIMEOUT_MS + late_ms;
             self.at(notice_ms, Event::Notice { owner: lost });
         }
         let next = self.owners.len();
--- a/crates/core/tests/dispatch_neighbours.rs
+++ b/crates/core/tests/dispatch_neighbours.rs
@@ -108,7 +108,7 @@
         ownership.tick(now_ms, &mut out);
         for command in out {
             if let Command::WriteClaim { record, .. } = command {
-                let write = trefoil_core::dispatch::ownership::ClaimWrite::Conflict;
+                let write = trefoil_core::dispatch::ownership::ClaimWriteOutcome::Conflict;
                 ownership.claim_written(now_ms, &record, &write, &mut Vec::new());
                 pools.push(record.claim.pool);
             }
--- a/crates/core/tests/dispatch_origin.rs
+++ b/crates/core/tests/dispatch_origin.rs
@@ -7,8 +7,10 @@
 };
 use dispatch_support::{SimWorker, holds, job, starts, stops};
 use trefoil_core::dispatch::job::Origin;
-use trefoil_core::dispatch::limits::{LEASE_MS, LINK_SILENT_MS, RESUME_MS, START_LEASE_MS};
-use trefoil_core::dispatch::order::{EndKind, ListedRun, OrderOutcome, Rejection};
+use trefoil_core::dispatch::limits::{
+    LEASE_MS, LINK_TIMEOUT_MS, ORIGIN_RECONNECT_GRACE_MS, START_LEASE_MS,
+};
+use trefoil_core::dispatch::order::{ListedRun, OrderOutcome, Rejection, RunOutcome};
 use trefoil_schema::dispatch::Outcome;
 
 /// Another link of the same instance.
@@ -28,7 +30,7 @@
     };
     // This instance lagged: most of a lease is spent since the origin was overdue.
     let lag_ms = LEASE_MS * 2 / 3;
-    let now_ms = LINK_SILENT_MS + lag_ms;
+    let now_ms = LINK_TIMEOUT_MS + lag_ms;
     let out = answer_hold(&mut owner, now_ms, hold, held(vec![there], vec![]));
     let deadline_ms = holds(&out)[0].deadline_ms.expect("something is left");
     assert!(deadline_ms <= 50_000 + now_ms + LEASE_MS - lag_ms);
@@ -49,7 +51,7 @@
     owner.delegate(21, Origin::Link(8), job("a", 1, 100), 0, None, &mut out);
     assert!(starts(&out).is_empty());
     let mut end = done(1, &started[0]);
-    end.how = EndKind::Stopped;
+    end.how = RunOutcome::Stopped;
     let out = answer_hold(&mut owner, 30, &hold, held(vec![], vec![end]));
     assert_eq!(starts(&out).len(), 1);
 }
@@ -65,21 +67,26 @@
     let first_hold = holds(&out)[0].clone();
     let mut out = Vec::new();
     owner.origin_lost(20, LINK, &mut out);
-    owner.tick(19 + RESUME_MS, &mut out);
+    owner.tick(19 + ORIGIN_RECONNECT_GRACE_MS, &mut out);
     // Meanwhile the worker may have been asked what became of the runs.
     let hold = &holds(&out).pop().unwrap_or(first_hold);
     owner.delegate(
-        19 + RESUME_MS,
+        19 + ORIGIN_RECONNECT_GRACE_MS,
         NEXT_LINK,
         job("a", 2, 100),
         0,
         None,
         &mut out,
     );
-    owner.tick(20 + RESUME_MS, &mut out);
+    owner.tick(20 + ORIGIN_RECONNECT_GRACE_MS, &mut out);
     assert!(stops(&out).is_empty() && starts(&out).is_empty());
     let ends = vec![done(1, &started[0]), done(2, &started[1])];
-    let out = answer_hold(&mut owner, 21 + RESUME_MS, hold, held(vec![], ends));
+    let out = answer_hold(
+        &mut owner,
+        21 + ORIGIN_RECONNECT_GRACE_MS,
+        hold,
+        held(vec![], ends),
+    );
     assert_eq!(ended(&out), [("a".to_owned(), Outcome::Completed)]);
 }
 
@@ -104,7 +111,7 @@
     out.extend(answer_hold(&mut owner, 30, hold, held(vec![still], ends)));
     owner.tick(31, &mut out);
     assert!(starts(&out).is_empty() && stops(&out).is_empty());
-    owner.tick(20 + RESUME_MS, &mut out);
+    owner.tick(20 + ORIGIN_RECONNECT_GRACE_MS, &mut out);
     assert_eq!(stops(&out).len(), 1);
     assert!(starts(&out).is_empty());
 }
--- a/crates/core/tests/dispatch_owner.rs
+++ b/crates/core/tests/dispatch_owner.rs
@@ -7,9 +7,9 @@
 };
 use dispatch_support::{SimWorker, holder, holds, job, owner_after, record, starts, stops};
 use trefoil_core::dispatch::job::Origin;
-use trefoil_core::dispatch::limits::{ADOPT_MS, DELEGATED_GAP_MS, START_LEASE_MS};
+use trefoil_core::dispatch::limits::{ADOPTION_GRACE_MS, REDELEGATION_DELAY_MS, START_LEASE_MS};
 use trefoil_core::dispatch::order::{
-    EndKind, HoldOrder, HoldOutcome, ListedRun, OrderOutcome, Rejection,
+    ListedRun, OrderOutcome, Rejection, RenewOrder, RenewOutcome, RunOutcome,
 };
 use trefoil_core::dispatch::owner::{Command, Owner};
 use trefoil_schema::dispatch::Outcome;
@@ -54,7 +54,7 @@
     let started = starts(&delegate(&mut owner, 10, "a", 1));
     let out = answer_start(&mut owner, 210, &started[0], OrderOutcome::NoAnswer);
     let hold = &holds(&out)[0];
-    answer_hold(&mut owner, 212, hold, HoldOutcome::NoAnswer);
+    answer_hold(&mut owner, 212, hold, RenewOutcome::NoAnswer);
     // The start may have been carried out; holds renew nothing before that is known.
     assert_eq!(hold.deadline_ms, None);
     let lapse_ms = 10 + START_LEASE_MS * 100 / 98;
@@ -82,7 +82,7 @@
     let dead = started[0].target.worker;
     let mut unanswered = vec![(sent_ms + started[0].answer_ms, started[0].clone())];
     let mut restarted_ms = None;
-    let mut holds_open: Vec<(u64, HoldOrder)> = Vec::new();
+    let mut holds_open: Vec<(u64, RenewOrder)> = Vec::new();
     for now_ms in sent_ms..sent_ms + 2000 {
         let mut out = Vec::new();
         for (_, start) in unanswered.extract_if(.., |(at_ms, _)| *at_ms <= now_ms) {
@@ -98,7 +98,7 @@
                 &mut owner,
                 now_ms,
                 &hold,
-                HoldOutcome::NoAnswer,
+                RenewOutcome::NoAnswer,
             ));
         }
         if now_ms % 25 == 0 {
@@ -160,7 +160,14 @@
     let mut out = Vec::new();
     let before = holder(1);
     let spec = job("a", 2, 100);
-    owner.delegate(20, LINK, spec, DELEGATED_GAP_MS, Some(&before), &mut out);
+    owner.delegate(
+        20,
+        LINK,
+        spec,
+        REDELEGATION_DELAY_MS,
+        Some(&before),
+        &mut out,
+    );
     let started = starts(&out);
     assert_eq!(started.len(), 1, "only the task that does not run");
     assert_eq!(&*started[0].task, "a.0.0.1");
@@ -178,9 +185,9 @@
     let hold = &holds(&out)[0];
     answer_hold(&mut owner, 1, hold, held(vec![there], vec![]));
     let mut out = Vec::new();
-    owner.tick(ADOPT_MS, &mut out);
+    owner.tick(ADOPTION_GRACE_MS, &mut out);
     assert!(stops(&out).is_empty());
-    owner.tick(1 + ADOPT_MS, &mut out);
+    owner.tick(1 + ADOPTION_GRACE_MS, &mut out);
     assert_eq!(stops(&out).len(), 1);
 }
 
@@ -204,7 +211,7 @@
     let clock_ms = 50_010;
     let out = answer_start(&mut owner, 12, &started[0], OrderOutcome::Done { clock_ms });
     let mut end = done(1, &started[0]);
-    end.how = EndKind::Failed;
+    end.how = RunOutcome::Failed;
     let out = answer_hold(&mut owner, 20, &holds(&out)[0], held(vec![], vec![end]));
     let again = starts(&out);
     assert_eq!(again.len(), 1);
@@ -220,7 +227,7 @@
         let outcome = OrderOutcome::Done { clock_ms };
         let out = answer_start(&mut owner, 12 * attempt, &started[0], outcome);
         let mut end = done(1, &started[0]);
-        end.how = EndKind::Failed;
+        end.how = RunOutcome::Failed;
         let hold = &holds(&out)[0];
         let out = answer_hold(&mut owner, 12 * attempt + 5, hold, held(vec![], vec![end]));
         if attempt == 3 {
--- a/crates/core/tests/dispatch_ownership.rs
+++ b/crates/core/tests/dispatch_ownership.rs
@@ -2,8 +2,12 @@
 
 use std::sync::Arc;
 
-use trefoil_core::dispatch::limits::{CLAIM_STAGGER_MS, CLAIM_STORE_MS, OWNER_LOST_MS};
-use trefoil_core::dispatch::ownership::{ClaimRecord, ClaimWrite, Command, Ownership, Roster};
+use trefoil_core::dispatch::limits::{
+    CLAIM_STAGGER_MS, CLAIM_STORE_TIMEOUT_MS, OWNER_LOST_TIMEOUT_MS,
+};
+use trefoil_core::dispatch::ownership::{
+    ClaimRecord, ClaimWriteOutcome, Command, Ownership, Roster,
+};
 use trefoil_schema::dispatch::{Claim, Node};
 
 const POOL: &str = "forde/0";
@@ -72,7 +76,7 @@
     };
     assert_eq!((record.claim.term, *revision), (1, 0));
     let mut out = Vec::new();
-    let written = ClaimWrite::Written { revision: 7 };
+    let written = ClaimWriteOutcome::Written { revision: 7 };
     ownership.claim_written(20, record, &written, &mut out);
     assert_eq!(out, [acquired(&record.claim)]);
     assert!(ownership.owns_any());
@@ -100,7 +104,7 @@
     assert_eq!(claims_at(&mut ownership, 0, 2000), None);
     ownership.unlinked(2000, "b");
     let at_ms = claims_at(&mut ownership, 2000, 4000);
-    assert_eq!(at_ms, Some(2000 + OWNER_LOST_MS));
+    assert_eq!(at_ms, Some(2000 + OWNER_LOST_TIMEOUT_MS));
 }
 
 #[test]
@@ -181,8 +185,8 @@
         };
         let record = record.clone();
         let mut out = Vec::new();
-        ownership.claim_written(2100, &record, &ClaimWrite::NoAnswer, &mut out);
-        out.extend(tick(&mut ownership, 2000 + CLAIM_STORE_MS));
+        ownership.claim_written(2100, &record, &ClaimWriteOutcome::NoAnswer, &mut out);
+        out.extend(tick(&mut ownership, 2000 + CLAIM_STORE_TIMEOUT_MS));
         assert_eq!(out.contains(&acquired(&record.claim)), claims);
     }
 }
@@ -195,7 +199,7 @@
     let Command::WriteClaim { record: own, .. } = &out[0] else {
         panic!("{out:?}");
     };
-    let written = ClaimWrite::Written { revision: 7 };
+    let written = ClaimWriteOutcome::Written { revision: 7 };
     ownership.claim_written(2010, own, &written, &mut Vec::new());
     let mut out = Vec::new();
     ownership.learn(2020, claim(&other, 2), false, &mut out);
@@ -214,7 +218,7 @@
     let Command::WriteClaim { record, .. } = &out[0] else {
         panic!("{out:?}");
     };
-    let written = ClaimWrite::Written { revision: 7 };
+    let written = ClaimWriteOutcome::Written { revision: 7 };
     ownership.claim_written(20, record, &written, &mut Vec::new());
     (ownership, record.clone())
 }
@@ -244,7 +248,7 @@
         (&Some(first.clone()), &Some(first))
     );
     assert_eq!(written(&tick(&mut ownership, 300)), None, "one at a time");
-    let stored = ClaimWrite::Written { revision: 8 };
+    let stored = ClaimWriteOutcome::Written { revision: 8 };
     let mut out = Vec::new();
     ownership.claim_written(310, &record, &stored, &mut out);
     let roster_stored = |roster: Option<Roster>| Command::RosterStored {
@@ -260,11 +264,11 @@
     let (mut ownership, _) = owning(&node("a", 1, 250));
     ownership.set_roster(POOL, roster(&["w1"]));
     let (record, _) = written(&tick(&mut ownership, 50)).unwrap();
-    ownership.claim_written(150, &record, &ClaimWrite::NoAnswer, &mut Vec::new());
+    ownership.claim_written(150, &record, &ClaimWriteOutcome::NoAnswer, &mut Vec::new());
     let (again, _) = written(&tick(&mut ownership, 200)).unwrap();
     assert_eq!(again, record);
     // The first write was carried out after all, and the second met it.
-    ownership.claim_written(210, &again, &ClaimWrite::Conflict, &mut Vec::new());
+    ownership.claim_written(210, &again, &ClaimWriteOutcome::Conflict, &mut Vec::new());
     let mut out = Vec::new();
     ownership.stored_claim(220, record, 8, &mut out);
     assert!(matches!(out[0], Command::RosterStored { .. }));
@@ -286,12 +290,12 @@
         let out = tick(&mut ownership, 2000);
         let (own, _) = written(&out).expect("the owner was never linked");
         let answer = match by_store {
-            true => ClaimWrite::Written { revision: 6 },
-            false => ClaimWrite::NoAnswer,
+            true => ClaimWriteOutcome::Written { revision: 6 },
+            false => ClaimWriteOutcome::NoAnswer,
         };
         let mut out = Vec::new();
         ownership.claim_written(2100, &own, &answer, &mut out);
-        ownership.tick(2100 + CLAIM_STORE_MS, &mut out);
+        ownership.tick(2100 + CLAIM_STORE_TIMEOUT_MS, &mut out);
         let Command::Acquired { predecessor, .. } = &out[0] else {
             panic!("{out:?}");
         };
@@ -310,7 +314,7 @@
         panic!("{out:?}");
     };
     let mut out = Vec::new();
-    ownership.claim_written(2010, record, &ClaimWrite::NoAnswer, &mut out);
+    ownership.claim_written(2010, record, &ClaimWriteOutcome::NoAnswer, &mut out);
     assert!(tick(&mut ownership, 2020).is_empty(), "it reaches nobody");
     ownership.stored_claim(2030, record.clone(), 9, &mut out);
     assert!(out.contains(&acquired(&record.claim)));
--- a/crates/core/tests/dispatch_registry.rs
+++ b/crates/core/tests/dispatch_registry.rs
@@ -6,7 +6,7 @@
     LINK, answer_hold, answer_start, delegate, done, ended, fenced_owner, held,
 };
 use dispatch_support::{holder, holds, job, owner_after, record, starts};
-use trefoil_core::dispatch::limits::{DELEGATED_GAP_MS, REGISTRY_GAP_MS};
+use trefoil_core::dispatch::limits::{REDELEGATION_DELAY_MS, UNLISTED_GRACE_MS};
 use trefoil_core::dispatch::order::OrderOutcome;
 
 #[test]
@@ -21,7 +21,14 @@
     let mut out = Vec::new();
     let spec = job("a", 1, 100);
     let before = holder(1);
-    owner.delegate(2, LINK, spec, DELEGATED_GAP_MS, Some(&before), &mut out);
+    owner.delegate(
+        2,
+        LINK,
+        spec,
+        REDELEGATION_DELAY_MS,
+        Some(&before),
+        &mut out,
+    );
     assert!(starts(&out).is_empty(), "w2 may still run the task");
     owner.set_workers(3, vec![record("w1"), record("w2")], &mut out);
     let hold = &holds(&out)[0];
@@ -48,7 +55,7 @@
     owner.set_workers(5, vec![], &mut out);
     assert!(owner.load(6).serving);
     assert_eq!(starts(&delegate(&mut owner, 10, "a", 1)).len(), 1);
-    let gone_ms = 5 + REGISTRY_GAP_MS;
+    let gone_ms = 5 + UNLISTED_GRACE_MS;
     assert!(!owner.load(gone_ms).serving);
     assert!(starts(&delegate(&mut owner, gone_ms, "b", 1)).is_empty());
     owner.set_workers(gone_ms + 5, vec![record("w1")], &mut out);
@@ -110,7 +117,7 @@
     let mut out = Vec::new();
     owner.tick(300, &mut out);
     answer_hold(&mut owner, 302, &holds(&out)[0], held(vec![], vec![]));
-    owner.tick(201 + REGISTRY_GAP_MS, &mut Vec::new());
+    owner.tick(201 + UNLISTED_GRACE_MS, &mut Vec::new());
     assert_eq!(owner.sizes().workers, 0, "it has left the table");
     let mut out = Vec::new();
     owner.set_workers(5000, vec![record("w1")], &mut out);
--- a/crates/core/tests/dispatch_support/mod.rs
+++ b/crates/core/tests/dispatch_support/mod.rs
@@ -8,12 +8,12 @@
 
 use trefoil_core::dispatch::fence::Fence;
 use trefoil_core::dispatch::order::{
-    EndKind, HoldOrder, HoldOutcome, ListedEnd, ListedRun, OrderOutcome, Rejection, StartOrder,
-    StopOrder,
+    ListedRun, OrderOutcome, Rejection, RenewOrder, RenewOutcome, RunCompletion, RunOutcome,
+    StartOrder, StopOrder,
 };
 use trefoil_core::dispatch::owner::{Command, Owner};
 use trefoil_core::dispatch::ownership::Predecessor;
-use trefoil_core::dispatch::worker::{Room, WorkerRecord};
+use trefoil_core::dispatch::worker::{Resources, WorkerRecord};
 use trefoil_schema::dispatch::{Holder, Job, Phase};
 
 /// Pool of all tests.
@@ -31,7 +31,7 @@
         failure_domain: Arc::from("forde"),
         service: Arc::from("register"),
         draining: false,
-        capacity: Room {
+        capacity: Resources {
             cpu_millicores: 2000,
             memory_mb: 1000,
             gpus: 0,
@@ -109,7 +109,7 @@
     pub takes_ms: u64,
     fence: u64,
     over: Vec<(Arc<str>, u64)>,
-    ended: Vec<ListedEnd>,
+    ended: Vec<RunCompletion>,
     ends: u64,
     lease_ms: u64,
     clock_from_ms: u64,
@@ -142,19 +142,19 @@
         let runs = std::mem::take(&mut self.runs);
         for run in runs {
             if run.ends_ms <= now_ms {
-                self.end(&run, EndKind::Done);
+                self.end(&run, RunOutcome::Done);
             } else if lapsed {
-                self.end(&run, EndKind::Lapsed);
+                self.end(&run, RunOutcome::Lapsed);
             } else {
                 self.runs.push(run);
             }
         }
     }
 
-    fn end(&mut self, run: &SimRun, how: EndKind) {
+    fn end(&mut self, run: &SimRun, how: RunOutcome) {
         self.ends += 1;
         self.over.push((run.task.clone(), run.run_id));
-        self.ended.push(ListedEnd {
+        self.ended.push(RunCompletion {
             number: self.ends,
             task: run.task.clone(),
             run_id: run.run_id,
@@ -211,7 +211,7 @@
         match self.runs.iter().position(there) {
             Some(position) => {
                 let run = self.runs.swap_remove(position);
-                self.end(&run, EndKind::Stopped);
+                self.end(&run, RunOutcome::Stopped);
             }
             None => self.over.push((order.task.clone(), order.run_id)),
         }
@@ -221,16 +221,16 @@
     }
 
     /// Answers a hold at once.
-    pub fn hold(&mut self, now_ms: u64, order: &HoldOrder) -> HoldOutcome {
+    pub fn hold(&mut self, now_ms: u64, order: &RenewOrder) -> RenewOutcome {
         self.pass(now_ms);
         if !self.obeys(order.target.fence) {
-            return HoldOutcome::Fenced;
+            return RenewOutcome::Fenced;
         }
         if let Some(deadline_ms) = order.deadline_ms {
             self.extend(now_ms, deadline_ms);
         }
         self.ended.retain(|end| end.number > order.ends_upto);
-        HoldOutcome::Held {
+        RenewOutcome::Held {
             clock_ms: self.clock_ms(now_ms),
             running: self
                 .runs
@@ -255,7 +255,7 @@
 }
 
 /// The holds among commands.
-pub fn holds(commands: &[Command]) -> Vec<HoldOrder> {
+pub fn holds(commands: &[Command]) -> Vec<RenewOrder> {
     let holds = commands.iter().filter_map(|command| match command {
         Command::Hold(order) => Some(order.clone()),
         _ => None,
--- a/crates/core/tests/dispatch_support/orders.rs
+++ b/crates/core/tests/dispatch_support/orders.rs
@@ -2,7 +2,7 @@
 
 use trefoil_core::dispatch::job::Origin;
 use trefoil_core::dispatch::order::{
-    EndKind, HoldOrder, HoldOutcome, ListedEnd, ListedRun, OrderOutcome, StartOrder,
+    ListedRun, OrderOutcome, RenewOrder, RenewOutcome, RunCompletion, RunOutcome, StartOrder,
 };
 use trefoil_core::dispatch::owner::{Answered, Command, Owner};
 use trefoil_schema::dispatch::Outcome;
@@ -11,8 +11,8 @@
 
 pub const LINK: Origin = Origin::Link(7);
 
-pub fn held(running: Vec<ListedRun>, ended: Vec<ListedEnd>) -> HoldOutcome {
-    HoldOutcome::Held {
+pub fn held(running: Vec<ListedRun>, ended: Vec<RunCompletion>) -> RenewOutcome {
+    RenewOutcome::Held {
         clock_ms: 50_000,
         running,
         ended,
@@ -22,8 +22,8 @@
 pub fn answer_hold(
     owner: &mut Owner,
     now_ms: u64,
-    order: &HoldOrder,
-    outcome: HoldOutcome,
+    order: &RenewOrder,
+    outcome: RenewOutcome,
 ) -> Vec<Command> {
     let mut out = Vec::new();
     let (worker, fence) = (order.target.worker, order.target.fence);
@@ -74,11 +74,11 @@
     ended.collect()
 }
 
-pub fn done(number: u64, order: &StartOrder) -> ListedEnd {
-    ListedEnd {
+pub fn done(number: u64, order: &StartOrder) -> RunCompletion {
+    RunCompletion {
         number,
         task: order.task.clone(),
         run_id: order.run_id,
-        how: EndKind::Done,
+        how: RunOutcome::Done,
     }
 }
--- a/crates/instance/src/edge.rs
+++ b/crates/instance/src/edge.rs
@@ -5,8 +5,10 @@
 use std::collections::HashMap;
 
 use derive_more::{Display, Error};
-use trefoil_core::dispatch::order::{HoldOrder, HoldOutcome, OrderOutcome, StartOrder, StopOrder};
-use trefoil_core::dispatch::ownership::{ClaimRecord, ClaimWrite};
+use trefoil_core::dispatch::order::{
+    OrderOutcome, RenewOrder, RenewOutcome, StartOrder, StopOrder,
+};
+use trefoil_core::dispatch::ownership::{ClaimRecord, ClaimWriteOutcome};
 use trefoil_core::dispatch::worker::WorkerRecord;
 use trefoil_schema::dispatch::Node;
 
@@ -68,7 +70,7 @@
     /// Lays out a failure domain's pools, unless that has been done.
     async fn lay_out(&self, failure_domain: &str, pools: u32) -> Result<(), StoreError>;
     /// Writes a claim if its record still has `revision` (0: none).
-    async fn write_claim(&self, record: &ClaimRecord, revision: u64) -> ClaimWrite;
+    async fn write_claim(&self, record: &ClaimRecord, revision: u64) -> ClaimWriteOutcome;
 }
 
 /// The platform's workers.
@@ -79,5 +81,5 @@
     /// Stops a run.
     async fn stop(&self, order: &StopOrder) -> OrderOutcome;
     /// Renews leases and lists runs and ends.
-    async fn hold(&self, order: &HoldOrder) -> HoldOutcome;
+    async fn hold(&self, order: &RenewOrder) -> RenewOutcome;
 }
--- a/crates/instance/src/instance.rs
+++ b/crates/instance/src/instance.rs
@@ -34,10 +34,12 @@
 use slog::{Logger, info, warn};
 use tokio::sync::{Notify, oneshot};
 use tokio::time::MissedTickBehavior;
-use trefoil_core::dispatch::entry::{self, Answer, Entry, Owned, Ticket};
+use trefoil_core::dispatch::entry::{self, Answer, Entry, PoolOwner, RequestId};
 use trefoil_core::dispatch::fence::Fence;
 use trefoil_core::dispatch::job::Origin;
-use trefoil_core::dispatch::limits::{BEAT_MS, POOLS_SETTLE_MS, POOLS_STAGGER_MS};
+use trefoil_core::dispatch::limits::{
+    HEARTBEAT_MS, POOL_CREATION_DELAY_MS, POOL_CREATION_STAGGER_MS,
+};
 use trefoil_core::dispatch::owner::{self, Owner};
 use trefoil_core::dispatch::ownership::{self, Ownership};
 use trefoil_core::dispatch::worker::WorkerRecord;
@@ -97,8 +99,8 @@
     /// Workers of the failure domain's pools, as their owners last told.
     pool_workers: HashMap<String, Vec<WorkerRecord>>,
     pool_count: u32,
-    waiters: HashMap<Ticket, oneshot::Sender<Answer>>,
-    next_ticket: Ticket,
+    waiters: HashMap<RequestId, oneshot::Sender<Answer>>,
+    next_ticket: RequestId,
     ticks: u64,
     ticked_ms: u64,
     /// When anything last happened here; ticks do all the while.
@@ -191,7 +193,12 @@
             state.entry.extend_silence_limits(late_ms);
             state.ticked_ms = now_ms;
         });
-        if self.state.borrow().ticks.is_multiple_of(BEAT_MS / TICK_MS) {
+        if self
+            .state
+            .borrow()
+            .ticks
+            .is_multiple_of(HEARTBEAT_MS / TICK_MS)
+        {
             self.beat();
             self.measure();
         }
@@ -272,7 +279,7 @@
     pub fn may_lay_out(&self) -> bool {
         let state = self.state.borrow();
         let pairs_before = state.ownership.listed_before() as u64 / 2;
-        let turn_ms = POOLS_SETTLE_MS + pairs_before * POOLS_STAGGER_MS;
+        let turn_ms = POOL_CREATION_DELAY_MS + pairs_before * POOL_CREATION_STAGGER_MS;
         state.pool_count == 0 && self.now_ms() >= turn_ms
     }
 
@@ -389,7 +396,7 @@
 /// Tells the entry when its caller's request is over.
 struct TicketGuard<E: Store + Workers + 'static> {
     instance: Rc<Instance<E>>,
-    ticket: Ticket,
+    ticket: RequestId,
 }
 
 impl<E: Store + Workers + 'static> Drop for TicketGuard<E> {
--- a/crates/instance/src/instance/beats.rs
+++ b/crates/instance/src/instance/beats.rs
@@ -1,6 +1,6 @@
 //! Heartbeats: liveness, ownership and load, told to every peer.
 
-use trefoil_core::dispatch::limits::{BEAT_IDLE_MS, LINK_IDLE_SILENT_MS, LINK_SILENT_MS};
+use trefoil_core::dispatch::limits::{IDLE_HEARTBEAT_MS, IDLE_LINK_TIMEOUT_MS, LINK_TIMEOUT_MS};
 use trefoil_schema::dispatch::frame::Body;
 use trefoil_schema::dispatch::{Beat, OwnedPool};
 
@@ -45,7 +45,7 @@
         self.change(|state, now_ms, effects| {
             self.close_silent(state, now_ms, effects);
             self.retire_links(state, now_ms, effects);
-            let idle_round = !state.ticks.is_multiple_of(BEAT_IDLE_MS / TICK_MS);
+            let idle_round = !state.ticks.is_multiple_of(IDLE_HEARTBEAT_MS / TICK_MS);
             let own = !state.owners.is_empty();
             let beat = self.beat_now(state, now_ms);
             let mut stuck = Vec::new();
@@ -69,8 +69,8 @@
         let own = !state.owners.is_empty();
         let silent = |link: &Link| {
             let limit_ms = match own || link.owns {
-                true => LINK_SILENT_MS,
-                false => LINK_IDLE_SILENT_MS,
+                true => LINK_TIMEOUT_MS,
+                false => IDLE_LINK_TIMEOUT_MS,
             };
             now_ms > link.heard_ms + limit_ms
         };
--- a/crates/instance/src/instance/calls.rs
+++ b/crates/instance/src/instance/calls.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 use std::time::Instant;
 
-use trefoil_core::dispatch::order::{HoldOrder, OrderOutcome, StartOrder, StopOrder, Target};
+use trefoil_core::dispatch::order::{OrderOutcome, RenewOrder, StartOrder, StopOrder, Target};
 use trefoil_core::dispatch::owner::Answered;
 use trefoil_core::dispatch::ownership::ClaimRecord;
 
@@ -40,7 +40,7 @@
         });
     }
 
-    pub(super) fn send_hold(self: &Rc<Self>, pool: String, order: HoldOrder) {
+    pub(super) fn send_hold(self: &Rc<Self>, pool: String, order: RenewOrder) {
         self.metrics.holds.inc();
         let instance = Rc::clone(self);
         tokio::task::spawn_local(async move {
--- a/crates/instance/src/instance/effects.rs
+++ b/crates/instance/src/instance/effects.rs
@@ -5,7 +5,7 @@
 
 use std::collections::VecDeque;
 
-use trefoil_core::dispatch::entry::Cause;
+use trefoil_core::dispatch::entry::RevocationCause;
 use trefoil_core::dispatch::owner::{About, Note};
 use trefoil_core::dispatch::ownership::{Predecessor, Roster, holder_of};
 
@@ -74,7 +74,9 @@
                 let mut state = self.state.borrow_mut();
                 if !state.delegate(Origin::Local, delegate, now_ms, &mut effects) {
                     let out = &mut effects.entry;
-                    state.entry.pool_lost(now_ms, &to, Cause::OwnerChanged, out);
+                    state
+                        .entry
+                        .pool_lost(now_ms, &to, RevocationCause::OwnerChanged, out);
                 }
             }
             entry::Command::Revoked {
@@ -116,7 +118,7 @@
                 match origin {
                     Origin::Local => {
                         let owner = self.me.name.clone();
-                        let from = Owned { pool, owner };
+                        let from = PoolOwner { pool, owner };
                         let out = &mut effects.entry;
                         let mut state = self.state.borrow_mut();
                         state.entry.ended(self.now_ms(), &from, &ending, out);
@@ -216,11 +218,11 @@
             state.worker_records.clear();
         }
         let owner = self.me.name.clone();
-        let owned = Owned { pool, owner };
+        let owned = PoolOwner { pool, owner };
         let out = &mut effects.entry;
         state
             .entry
-            .pool_lost(now_ms, &owned, Cause::OwnerChanged, out);
+            .pool_lost(now_ms, &owned, RevocationCause::OwnerChanged, out);
         drop(state);
         self.store_poke.notify_waiters();
         self.beat();
--- a/crates/instance/src/instance/frames.rs
+++ b/crates/instance/src/instance/frames.rs
@@ -5,7 +5,7 @@
     Beat, Cancel, ConfigPush, ConfigRequest, Delegate, Ended, Frame, OwnedPool,
 };
 
-use trefoil_core::dispatch::entry::Cause;
+use trefoil_core::dispatch::entry::RevocationCause;
 use trefoil_core::dispatch::owner::Ending;
 
 use super::peers::encode;
@@ -47,7 +47,7 @@
                         retry_after_ms: ended.retry_after_ms,
                     };
                     let pool = ended.pool;
-                    let from = Owned { pool, owner: name };
+                    let from = PoolOwner { pool, owner: name };
                     let out = &mut effects.entry;
                     state.entry.ended(now_ms, &from, &ending, out);
                 }
@@ -125,7 +125,7 @@
             let out = &mut effects.entry;
             state
                 .entry
-                .pool_lost(now_ms, &lost, Cause::OwnerChanged, out);
+                .pool_lost(now_ms, &lost, RevocationCause::OwnerChanged, out);
         }
         if state.declared.is_behind(beat.declarations_revision) {
             self.catch_up(state, id, now_ms);
@@ -201,7 +201,7 @@
         }
     }
 
-    pub(super) fn send_delegate(&self, to: &Owned, delegate: Delegate, effects: &mut Effects) {
+    pub(super) fn send_delegate(&self, to: &PoolOwner, delegate: Delegate, effects: &mut Effects) {
         let mut state = self.state.borrow_mut();
         let frame = encode(Body::Delegate(delegate));
         let link = state.peers.link_to(&to.owner);
@@ -210,11 +210,11 @@
             let out = &mut effects.entry;
             state
                 .entry
-                .pool_lost(self.now_ms(), to, Cause::LinkLost, out);
+                .pool_lost(self.now_ms(), to, RevocationCause::LinkLost, out);
         }
     }
 
-    pub(super) fn send_cancel(&self, to: &Owned, job_id: String) {
+    pub(super) fn send_cancel(&self, to: &PoolOwner, job_id: String) {
         let state = self.state.borrow();
         let pool = to.pool.clone();
         let cancel = encode(Body::Cancel(Cancel { job_id, pool }));
--- a/crates/instance/src/instance/peers.rs
+++ b/crates/instance/src/instance/peers.rs
@@ -11,7 +11,7 @@
 
 use bytes::Bytes;
 use tokio::net::{TcpListener, TcpStream};
-use trefoil_core::dispatch::limits::LINK_SILENT_MS;
+use trefoil_core::dispatch::limits::LINK_TIMEOUT_MS;
 use trefoil_core::dispatch::retirement::{Retirement, Side};
 use trefoil_schema::dispatch::frame::Body;
 use trefoil_schema::dispatch::{Frame, Hello};
@@ -147,7 +147,7 @@
         });
         opened.sender.send(encode(hello));
         let mut reader = opened.reader;
-        let first = tokio::time::timeout(Duration::from_millis(LINK_SILENT_MS), reader.next());
+        let first = tokio::time::timeout(Duration::from_millis(LINK_TIMEOUT_MS), reader.next());
         let Ok(Ok(Some(Frame {
             body:
                 Some(Body::Hello(Hello {
--- a/crates/instance/src/instance/workers.rs
+++ b/crates/instance/src/instance/workers.rs
@@ -7,7 +7,7 @@
 use std::sync::Arc;
 
 use trefoil_core::dispatch::pool;
-use trefoil_core::dispatch::worker::Room;
+use trefoil_core::dispatch::worker::Resources;
 use trefoil_schema::dispatch::frame::Body;
 use trefoil_schema::dispatch::{PoolWorkers, Worker};
 
@@ -118,7 +118,7 @@
         failure_domain: Arc::from(failure_domain),
         service: Arc::from(worker.service),
         draining: worker.draining,
-        capacity: Room {
+        capacity: Resources {
             cpu_millicores: worker.cpu_millicores,
             memory_mb: worker.memory_mb,
             gpus: worker.gpus,
--- a/crates/instance/tests/suspension.rs
+++ b/crates/instance/tests/suspension.rs
@@ -7,8 +7,10 @@
 use std::time::Duration;
 
 use tokio::task::{LocalSet, spawn_local};
-use trefoil_core::dispatch::order::{HoldOrder, HoldOutcome, OrderOutcome, StartOrder, StopOrder};
-use trefoil_core::dispatch::ownership::{ClaimRecord, ClaimWrite};
+use trefoil_core::dispatch::order::{
+    OrderOutcome, RenewOrder, RenewOutcome, StartOrder, StopOrder,
+};
+use trefoil_core::dispatch::ownership::{ClaimRecord, ClaimWriteOutcome};
 use trefoil_core::dispatch::worker::WorkerRecord;
 use trefoil_instance::clock::Clock;
 use trefoil_instance::declarations::{Declarations, DeclarationsRead};
@@ -65,9 +67,9 @@
         Ok(())
     }
 
-    async fn write_claim(&self, _record: &ClaimRecord, _revision: u64) -> ClaimWrite {
+    async fn write_claim(&self, _record: &ClaimRecord, _revision: u64) -> ClaimWriteOutcome {
         self.claims.set(self.claims.get() + 1);
-        ClaimWrite::Written {
+        ClaimWriteOutcome::Written {
             revision: self.claims.get(),
         }
     }
@@ -82,8 +84,8 @@
         OrderOutcome::NoAnswer
     }
 
-    async fn hold(&self, _order: &HoldOrder) -> HoldOutcome {
-        HoldOutcome::NoAnswer
+    async fn hold(&self, _order: &RenewOrder) -> RenewOutcome {
+        RenewOutcome::NoAnswer
     }
 }
 
--- a/crates/replay/examples/owner_rate.rs
+++ b/crates/replay/examples/owner_rate.rs
@@ -7,9 +7,9 @@
 
 use trefoil_core::dispatch::fence::Fence;
 use trefoil_core::dispatch::job::Origin;
-use trefoil_core::dispatch::order::HoldOutcome;
+use trefoil_core::dispatch::order::RenewOutcome;
 use trefoil_core::dispatch::owner::{Command, Owner};
-use trefoil_core::dispatch::worker::{Room, WorkerRecord};
+use trefoil_core::dispatch::worker::{Resources, WorkerRecord};
 use trefoil_schema::dispatch::{Job, Phase};
 
 /// Workers of the pool: the most that a pool is laid out with.
@@ -76,7 +76,7 @@
         failure_domain: Arc::from("domain"),
         service: Arc::from("service"),
         draining: false,
-        capacity: Room {
+        capacity: Resources {
             cpu_millicores: 16_000,
             memory_mb: 65_536,
             gpus: 0,
@@ -87,7 +87,7 @@
     owner.set_workers(0, records.collect(), &mut out);
     for command in out {
         if let Command::Hold(order) = command {
-            let held = HoldOutcome::Held {
+            let held = RenewOutcome::Held {
                 clock_ms: 1,
                 running: Vec::new(),
                 ended: Vec::new(),
--- a/crates/replay/src/worker.rs
+++ b/crates/replay/src/worker.rs
@@ -5,7 +5,7 @@
 
 use trefoil_core::dispatch::fence::Fence;
 use trefoil_core::dispatch::order::{
-    EndKind, HoldOrder, HoldOutcome, ListedEnd, ListedRun, StartOrder,
+    ListedRun, RenewOrder, RenewOutcome, RunCompletion, RunOutcome, StartOrder,
 };
 use trefoil_core::dispatch::worker::WorkerRecord;
 
@@ -13,7 +13,7 @@
 #[derive(Clone, Debug)]
 pub struct WaitingHold {
     /// The order.
-    pub order: HoldOrder,
+    pub order: RenewOrder,
     /// Tells one wait from another.
     pub number: u64,
 }
@@ -30,7 +30,7 @@
     /// The hold that waits, if any.
     pub waiting: Option<WaitingHold>,
     runs: Vec<ListedRun>,
-    ended: VecDeque<ListedEnd>,
+    ended: VecDeque<RunCompletion>,
     ends: u64,
     fence: Fence,
 }
@@ -64,14 +64,14 @@
     }
 
     /// Ends a run, if it is still there.
-    pub fn end(&mut self, task: &Arc<str>, run_id: u64, how: EndKind) -> bool {
+    pub fn end(&mut self, task: &Arc<str>, run_id: u64, how: RunOutcome) -> bool {
         let same = |run: &ListedRun| run.run_id == run_id && run.task == *task;
         let Some(position) = self.runs.iter().position(same) else {
             return false;
         };
         self.runs.swap_remove(position);
         self.ends += 1;
-        self.ended.push_back(ListedEnd {
+        self.ended.push_back(RunCompletion {
             number: self.ends,
             task: task.clone(),
             run_id,
@@ -81,7 +81,7 @@
     }
 
     /// Takes in a hold's fence and acknowledgement.
-    pub fn take_hold(&mut self, order: &HoldOrder) {
+    pub fn take_hold(&mut self, order: &RenewOrder) {
         self.fence = self.fence.max(order.target.fence);
         self.ended.retain(|end| end.number > order.ends_upto);
     }
@@ -92,8 +92,8 @@
     }
 
     /// What a hold is answered; the worker's clock is the true one.
-    pub fn listing(&self, now_ms: u64) -> HoldOutcome {
-        HoldOutcome::Held {
+    pub fn listing(&self, now_ms: u64) -> RenewOutcome {
+        RenewOutcome::Held {
             clock_ms: now_ms,
             running: self.runs.clone(),
             ended: self.ended.iter().cloned().collect(),
--- a/crates/replay/src/world.rs
+++ b/crates/replay/src/world.rs
@@ -12,12 +12,12 @@
 use std::collections::{BTreeMap, BinaryHeap, HashMap};
 use std::sync::Arc;
 
-use trefoil_core::dispatch::entry::{self, Answer, Entry, Owned};
+use trefoil_core::dispatch::entry::{self, Answer, Entry, PoolOwner};
 use trefoil_core::dispatch::fence::Fence;
 use trefoil_core::dispatch::job::Origin;
-use trefoil_core::dispatch::limits::BEAT_MS;
+use trefoil_core::dispatch::limits::HEARTBEAT_MS;
 use trefoil_core::dispatch::order::{
-    EndKind, HoldOrder, HoldOutcome, StartOrder, StopOrder, WorkerKey,
+    RenewOrder, RenewOutcome, RunOutcome, StartOrder, StopOrder, WorkerKey,
 };
 use trefoil_core::dispatch::owner::{self, Answered, Owner};
 use trefoil_core::dispatch::worker::WorkerRecord;
@@ -75,7 +75,7 @@
     },
     Hold {
         pool: usize,
-        order: HoldOrder,
+        order: RenewOrder,
     },
     StartAnswer {
         pool: usize,
@@ -90,13 +90,13 @@
         worker: WorkerKey,
         fence: Fence,
         number: u64,
-        outcome: HoldOutcome,
+        outcome: RenewOutcome,
     },
     RunEnds {
         worker: usize,
         task: Arc<str>,
         run_id: u64,
-        how: EndKind,
+        how: RunOutcome,
     },
     HoldWaited {
         worker: usize,
@@ -180,7 +180,7 @@
     fn schedule(&mut self) {
         self.at(0, Event::Registry);
         self.at(0, Event::Tick);
-        self.at(BEAT_MS, Event::Beat);
+        self.at(HEARTBEAT_MS, Event::Beat);
         for (index, arrival) in self.arrivals.iter().enumerate() {
             let visit = Visit::first(index);
             self.at(START_MS + arrival.at_ms, Event::Request(visit));
@@ -335,7 +335,7 @@
 
     /// The claim of a pool's owner, which keeps it for the whole replay.
     fn claim(&self, pool: usize) -> Claim {
-        let Owned { pool, owner } = self.owned(pool);
+        let PoolOwner { pool, owner } = self.owned(pool);
         let domain = pool.split('/').next().unwrap_or("").to_owned();
         let owner = Node {
             name: owner,
@@ -349,8 +349,8 @@
         }
     }
 
-    fn owned(&self, pool: usize) -> Owned {
-        Owned {
+    fn owned(&self, pool: usize) -> PoolOwner {
+        PoolOwner {
             pool: self.pools[pool].clone(),
             owner: format!("owner-{pool}"),
         }
@@ -462,7 +462,7 @@
     }
 
     fn beat(&mut self) {
-        self.after(BEAT_MS, Event::Beat);
+        self.after(HEARTBEAT_MS, Event::Beat);
         for pool in 0..self.owners.len() {
             let load = self.owners[pool].load(self.now_ms);
             let claim = self.claim(pool);
--- a/crates/replay/src/world/callers.rs
+++ b/crates/replay/src/world/callers.rs
@@ -1,6 +1,6 @@
 //! Callers: their requests, what they are told, and who comes back.
 
-use trefoil_core::dispatch::entry::Ticket;
+use trefoil_core::dispatch::entry::RequestId;
 
 use super::{Event, START_MS, World};
 use crate::figures::Seen;
@@ -19,11 +19,11 @@
         Self { job, is_return }
     }
 
-    pub(super) fn ticket(self) -> Ticket {
+    pub(super) fn ticket(self) -> RequestId {
         self.job as u64 * 2 + u64::from(self.is_return)
     }
 
-    pub(super) fn of_ticket(ticket: Ticket) -> Self {
+    pub(super) fn of_ticket(ticket: RequestId) -> Self {
         Self {
             job: (ticket / 2) as usize,
             is_return: ticket % 2 == 1,
--- a/crates/replay/src/world/fleet.rs
+++ b/crates/replay/src/world/fleet.rs
@@ -6,7 +6,7 @@
 use trefoil_core::dispatch::fence::Fence;
 use trefoil_core::dispatch::owner::{Owner, Settings};
 use trefoil_core::dispatch::pool;
-use trefoil_core::dispatch::worker::{Room, WorkerRecord};
+use trefoil_core::dispatch::worker::{Resources, WorkerRecord};
 
 use super::{LEAVING_MS, World};
 use crate::pattern::{Change, Fleet, Pattern};
@@ -86,7 +86,7 @@
             failure_domain: Arc::from(self.pools[pool].split('/').next().unwrap_or("")),
             service: Arc::from("service"),
             draining: false,
-            capacity: Room {
+            capacity: Resources {
                 cpu_millicores: capacity_of(index),
                 memory_mb: 65_536,
                 gpus: 0,
--- a/crates/replay/src/world/orders.rs
+++ b/crates/replay/src/world/orders.rs
@@ -1,8 +1,8 @@
 //! Orders at the workers, and their answers.
 
-use trefoil_core::dispatch::limits::HOLD_WAIT_MS;
+use trefoil_core::dispatch::limits::RENEW_WAIT_MS;
 use trefoil_core::dispatch::order::{
-    EndKind, HoldOrder, HoldOutcome, OrderOutcome, Rejection, StartOrder, StopOrder,
+    OrderOutcome, Rejection, RenewOrder, RenewOutcome, RunOutcome, StartOrder, StopOrder,
 };
 use trefoil_core::dispatch::owner::Answered;
 
@@ -40,9 +40,9 @@
         let arrival = &self.arrivals[job];
         let run_ms = arrival.runs_ms[index] as f64 * self.workers[worker].slowness;
         let how = if arrival.fails {
-            EndKind::Failed
+            RunOutcome::Failed
         } else {
-            EndKind::Done
+            RunOutcome::Done
         };
         let ends = Event::RunEnds {
             worker,
@@ -55,7 +55,7 @@
 
     pub(super) fn stop(&mut self, pool: usize, order: StopOrder) {
         let worker = self.worker_of(&order.target.worker_id);
-        if self.workers[worker].end(&order.task, order.run_id, EndKind::Stopped) {
+        if self.workers[worker].end(&order.task, order.run_id, RunOutcome::Stopped) {
             self.answer_waiting(worker);
         }
         let answered = Answered {
@@ -70,17 +70,17 @@
         self.after(PATH_MS, Event::StopAnswer { pool, answered });
     }
 
-    pub(super) fn hold(&mut self, pool: usize, order: HoldOrder) {
+    pub(super) fn hold(&mut self, pool: usize, order: RenewOrder) {
         let worker = self.worker_of(&order.target.worker_id);
         self.orders += 1;
         if !self.workers[worker].up || self.is_unanswered(self.orders) {
-            return self.answer_hold(pool, &order, HoldOutcome::NoAnswer);
+            return self.answer_hold(pool, &order, RenewOutcome::NoAnswer);
         }
         self.workers[worker].take_hold(&order);
         if order.wait_ms > 0 && self.workers[worker].has_no_news() {
             let number = self.next_hold;
             self.next_hold += 1;
-            let wait_ms = order.wait_ms.min(HOLD_WAIT_MS);
+            let wait_ms = order.wait_ms.min(RENEW_WAIT_MS);
             self.workers[worker].waiting = Some(WaitingHold { order, number });
             return self.after(wait_ms, Event::HoldWaited { worker, number });
         }
@@ -96,7 +96,7 @@
         }
     }
 
-    fn answer_hold(&mut self, pool: usize, order: &HoldOrder, outcome: HoldOutcome) {
+    fn answer_hold(&mut self, pool: usize, order: &RenewOrder, outcome: RenewOutcome) {
         let answer = Event::HoldAnswer {
             pool,
             worker: order.target.worker,
@@ -126,7 +126,7 @@
     matches!(
         answer,
         Event::HoldAnswer {
-            outcome: HoldOutcome::NoAnswer,
+            outcome: RenewOutcome::NoAnswer,
             ..
         }
     )
