--- a/crates/core/src/dispatch/entry.rs
+++ b/crates/core/src/dispatch/entry.rs
@@ -67,7 +67,7 @@
 pub struct Entry {
     home: String,
     jobs: HashMap<String, EntryJob>,
-    tickets: HashMap<RequestId, String>,
+    requests: HashMap<RequestId, String>,
     pools: BTreeMap<String, PoolView>,
     /// Pools of the own failure domain that this entry uses once they have
     /// owners.
@@ -94,7 +94,7 @@
     pub fn submit(
         &mut self,
         now_ms: u64,
-        ticket: RequestId,
+        request_id: RequestId,
         spec: JobSpec,
         deadline_ms: u64,
         out: &mut Vec<Command>,
@@ -103,15 +103,15 @@
         if let Some(job) = self.jobs.get_mut(&id) {
             if job.spec != spec {
                 let answer = Answer::OtherJob;
-                return out.push(Command::Answer { ticket, answer });
+                return out.push(Command::Answer { request_id, answer });
             }
-            job.waiters.push(ticket);
-            self.tickets.insert(ticket, id);
+            job.waiters.push(request_id);
+            self.requests.insert(request_id, id);
             return;
         }
         let job = EntryJob {
             spec,
-            waiters: vec![ticket],
+            waiters: vec![request_id],
             arrived_ms: now_ms,
             deadline_ms,
             place: Place::Waiting,
@@ -124,20 +124,20 @@
             refused_by: Vec::new(),
             refusal: None,
         };
-        self.tickets.insert(ticket, id.clone());
+        self.requests.insert(request_id, id.clone());
         self.jobs.insert(id.clone(), job);
         self.place(now_ms, &id, out);
     }
 
     /// A caller no longer waits; without any waiter the job is cancelled.
-    pub fn caller_left(&mut self, ticket: RequestId, out: &mut Vec<Command>) {
-        let Some(id) = self.tickets.remove(&ticket) else {
+    pub fn on_caller_disconnected(&mut self, request_id: RequestId, out: &mut Vec<Command>) {
+        let Some(id) = self.requests.remove(&request_id) else {
             return;
         };
         let Some(job) = self.jobs.get_mut(&id) else {
             return;
         };
-        job.waiters.retain(|&waiter| waiter != ticket);
+        job.waiters.retain(|&waiter| waiter != request_id);
         if job.waiters.is_empty() {
             self.drop_job(&id, out);
         }
@@ -154,7 +154,7 @@
     }
 
     /// Takes in how an owner says that a job ended.
-    pub fn ended(
+    pub fn on_job_ended(
         &mut self,
         now_ms: u64,
         from: &PoolOwner,
@@ -190,7 +190,7 @@
     }
 
     /// Takes in what an owner tells of its claim and the pool's load.
-    pub fn pool_seen(&mut self, now_ms: u64, claim: &Claim, load: Load, out: &mut Vec<Command>) {
+    pub fn update_pool(&mut self, now_ms: u64, claim: &Claim, load: Load, out: &mut Vec<Command>) {
         let Some(holder) = holder_of(claim) else {
             return;
         };
@@ -219,7 +219,7 @@
     }
 
     /// Moves all silence limits by a time in which this process did not run.
-    pub fn extend_silence_limits(&mut self, stall_ms: u64) {
+    pub fn extend_liveness_timeouts(&mut self, stall_ms: u64) {
         for view in self.pools.values_mut() {
             view.heard_ms += stall_ms;
         }
@@ -249,7 +249,7 @@
     }
 
     /// Gives up everything at the end of a planned stop.
-    pub fn close(&mut self, out: &mut Vec<Command>) {
+    pub fn shut_down(&mut self, out: &mut Vec<Command>) {
         let ids: Vec<String> = self.jobs.keys().cloned().collect();
         for id in ids {
             self.give_up(&id, "the instance ends", out);
@@ -260,9 +260,9 @@
         let Some(job) = self.jobs.remove(id) else {
             return;
         };
-        for ticket in job.waiters {
-            self.tickets.remove(&ticket);
-            out.push(Command::Answer { ticket, answer });
+        for request_id in job.waiters {
+            self.requests.remove(&request_id);
+            out.push(Command::Answer { request_id, answer });
         }
     }
 
@@ -342,7 +342,7 @@
 
     /// Whether callers get an answer at once: an owner takes jobs, or all say
     /// that none may be run.
-    pub fn is_served(&self) -> bool {
+    pub fn is_ready(&self) -> bool {
         self.is_closed() || self.pools.values().any(|view| view.load.serving)
     }
 
--- a/crates/core/src/dispatch/entry/choice.rs
+++ b/crates/core/src/dispatch/entry/choice.rs
@@ -15,12 +15,12 @@
 /// instance that has used up its share of a tenth of a second.
 ///
 /// Load pattern: a failure domain is cut off, or an instance loses power, without
-/// notice. Its link is closed after [`LINK_SILENT_MS`]; jobs that were sent meanwhile
-/// can run elsewhere only [`DELEGATED_GAP_MS`] after that, when most are of no use
+/// notice. Its link is closed after [`LINK_TIMEOUT_MS`]; jobs that were sent meanwhile
+/// can run elsewhere only [`REDELEGATION_DELAY_MS`] after that, when most are of no use
 /// any more. An owner that is only slow loses little: others are as near.
 ///
-/// [`LINK_SILENT_MS`]: crate::dispatch::limits::LINK_SILENT_MS
-/// [`DELEGATED_GAP_MS`]: crate::dispatch::limits::DELEGATED_GAP_MS
+/// [`LINK_TIMEOUT_MS`]: crate::dispatch::limits::LINK_TIMEOUT_MS
+/// [`REDELEGATION_DELAY_MS`]: crate::dispatch::limits::REDELEGATION_DELAY_MS
 const SILENT_MS: u64 = 150;
 
 /// A pool, as this entry sees it.
--- a/crates/core/src/dispatch/entry/command.rs
+++ b/crates/core/src/dispatch/entry/command.rs
@@ -40,7 +40,7 @@
     /// Answer a caller.
     Answer {
         /// The request.
-        ticket: RequestId,
+        request_id: RequestId,
         /// The answer.
         answer: Answer,
     },
--- a/crates/core/src/dispatch/entry/losses.rs
+++ b/crates/core/src/dispatch/entry/losses.rs
@@ -9,7 +9,7 @@
 
 impl Entry {
     /// The pools of an owner, as this entry knows them.
-    pub fn pools_of(&self, owner: &str) -> Vec<PoolOwner> {
+    pub fn pools_owned_by(&self, owner: &str) -> Vec<PoolOwner> {
         let pools = self
             .pools
             .iter()
@@ -28,13 +28,13 @@
     }
 
     /// Delegates no further jobs to an owner; those that it has stay there.
-    pub fn stop_using(&mut self, owner: &str) {
+    pub fn stop_delegating_to(&mut self, owner: &str) {
         self.pools.retain(|_, view| view.holder.owner != owner);
     }
 
     /// The link to an owner is gone.
     pub fn owner_lost(&mut self, now_ms: u64, owner: &str, out: &mut Vec<Command>) {
-        for owned in self.pools_of(owner) {
+        for owned in self.pools_owned_by(owner) {
             self.pool_lost(now_ms, &owned, RevocationCause::LinkLost, out);
         }
     }
--- a/crates/core/src/dispatch/entry/refusal.rs
+++ b/crates/core/src/dispatch/entry/refusal.rs
@@ -19,7 +19,7 @@
 
 impl Entry {
     /// Takes in which pools of the own failure domain this entry uses.
-    pub fn set_home_pools(&mut self, names: Vec<String>) {
+    pub fn set_local_pools(&mut self, names: Vec<String>) {
         self.home_pools = names;
     }
 
--- a/crates/core/src/dispatch/job.rs
+++ b/crates/core/src/dispatch/job.rs
@@ -32,7 +32,7 @@
         not_before_ms: u64,
     },
     /// On a worker, or on its way there.
-    OnWorker(WorkerKey),
+    Assigned(WorkerKey),
     /// Done.
     Done,
 }
@@ -58,7 +58,7 @@
 
 impl Task {
     /// Whether it is to be started.
-    pub fn waits(&self) -> bool {
+    pub fn is_waiting(&self) -> bool {
         matches!(self.state, TaskState::Waiting { .. })
     }
 
@@ -84,7 +84,7 @@
     /// Until then tasks that an earlier owner started may run ...
     pub unsafe_until_ms: u64,
     /// ... unless this makes it safe sooner.
-    pub cleared_by: ClearedBy,
+    pub start_barrier: ClearedBy,
     /// Whether the job's runs are being stopped.
     pub stopping: bool,
     /// Whether the origin's link broke: nothing new starts until it is back.
@@ -107,7 +107,7 @@
             tasks,
             arrived_ms,
             unsafe_until_ms: now_ms,
-            cleared_by: ClearedBy::Time,
+            start_barrier: ClearedBy::Time,
             stopping: false,
             paused: false,
             started: false,
@@ -118,7 +118,7 @@
     /// Whether no earlier owner's order can start any of its tasks; `fenced`
     /// tells whether all workers obey that the predecessor may have ordered.
     pub fn is_safe(&self, now_ms: u64, fenced: bool) -> bool {
-        let cleared = match self.cleared_by {
+        let cleared = match self.start_barrier {
             ClearedBy::Time => false,
             ClearedBy::Own => true,
             ClearedBy::Fencing => fenced,
@@ -132,7 +132,7 @@
     }
 
     /// Whether all phases that `phase` comes after are done.
-    pub fn phase_ready(&self, phase: usize) -> bool {
+    pub fn is_phase_ready(&self, phase: usize) -> bool {
         let after = &self.spec.phases[phase].after;
         after.is_empty() || {
             let open = |task: &&Task| task.state != TaskState::Done;
@@ -142,7 +142,7 @@
     }
 
     /// A task of it failed on a worker.
-    pub fn failed(&mut self, on: WorkerKey) {
+    pub fn record_failure(&mut self, on: WorkerKey) {
         if !self.failed_on.contains(&on) {
             self.failed_on.push(on);
         }
@@ -157,7 +157,7 @@
 
     /// The task by which a suspect job shows soonest whether it can be done:
     /// the one that has failed most often.
-    pub fn probe(&self) -> Option<usize> {
+    pub fn probe_task(&self) -> Option<usize> {
         let tasks = self.tasks.iter().enumerate();
         let most = tasks.max_by_key(|(index, task)| (task.failures, Reverse(*index)));
         most.map(|(index, _)| index)
@@ -169,8 +169,8 @@
     }
 
     /// Whether a task is on a worker, or may be.
-    pub fn on_workers(&self) -> bool {
-        let on_worker = |task: &Task| matches!(task.state, TaskState::OnWorker(_));
+    pub fn has_assigned_tasks(&self) -> bool {
+        let on_worker = |task: &Task| matches!(task.state, TaskState::Assigned(_));
         self.tasks.iter().any(on_worker)
     }
 
@@ -197,18 +197,18 @@
 
     /// Whether an answer can no longer be of use: the caller will have left, or
     /// the late objective has passed by far. Estimates are off by half.
-    pub fn is_hopeless(&self, now_ms: u64) -> bool {
-        now_ms + self.remaining_ms() / 2 > self.leaves_ms() || now_ms > self.too_late_ms()
+    pub fn is_expired(&self, now_ms: u64) -> bool {
+        now_ms + self.remaining_ms() / 2 > self.caller_deadline_ms() || now_ms > self.expiry_ms()
     }
 
     /// From when on its answer is surely of no use, even if its work is
     /// underestimated.
-    pub fn too_late_ms(&self) -> u64 {
+    pub fn expiry_ms(&self) -> u64 {
         self.objective_ms(LATE_FACTOR * HOPELESS_FACTOR)
     }
 
     /// When the caller stops waiting for its answer.
-    pub fn leaves_ms(&self) -> u64 {
+    pub fn caller_deadline_ms(&self) -> u64 {
         match self.spec.patience_ms {
             0 => u64::MAX,
             patience_ms => self.arrived_ms + patience_ms,
@@ -218,15 +218,15 @@
     /// Processor that its waiting tasks take together, thousandths of a core:
     /// those of phases that may begin.
     pub fn waiting_millicores(&self) -> u64 {
-        let tasks = self.tasks.iter().filter(|task| task.waits());
-        let ready = tasks.filter(|task| self.phase_ready(usize::from(task.phase)));
+        let tasks = self.tasks.iter().filter(|task| task.is_waiting());
+        let ready = tasks.filter(|task| self.is_phase_ready(usize::from(task.phase)));
         ready.map(|task| self.phase(task).cpu_millicores).sum()
     }
 
     /// Work that is not begun, by its estimates: thousandths of a core times
     /// milliseconds.
-    pub fn waiting_work(&self) -> u64 {
-        let tasks = self.tasks.iter().filter(|task| task.waits());
+    pub fn waiting_millicore_ms(&self) -> u64 {
+        let tasks = self.tasks.iter().filter(|task| task.is_waiting());
         let phases = tasks.map(|task| self.phase(task));
         let work = phases.map(|phase| phase.cpu_millicores * phase.estimate_ms);
         work.sum()
--- a/crates/core/src/dispatch/limits.rs
+++ b/crates/core/src/dispatch/limits.rs
@@ -4,7 +4,7 @@
 //! and a job may start elsewhere only after that. See `docs/design/platform.md`.
 
 /// Longest lease that a worker grants, by the platform's contract; a worker's
-/// clock may be this much slow besides: [`CLOCK_SLOW`].
+/// clock may be this much slow besides: [`CLOCK_DRIFT_MAX`].
 pub const LEASE_MAX_MS: u64 = 1000;
 /// Largest share by which a worker's clock is slow, by the platform's contract.
 pub const CLOCK_DRIFT_MAX: f64 = 0.02;
@@ -12,7 +12,7 @@
 /// lapsed, so it is as short as two renewals, one of them lost, allow.
 pub const LEASE_MS: u64 = 500;
 /// Lease that a start asks for: the hold that follows its answer renews it. It
-/// outlasts [`ANSWER_MAX_MS`] and a pause of the instance.
+/// outlasts [`ANSWER_TIMEOUT_MAX_MS`] and a pause of the instance.
 pub const START_LEASE_MS: u64 = 300;
 /// How long a worker may keep a hold open until something ends. Two renewals
 /// fit into a lease.
@@ -22,7 +22,7 @@
 /// its share of a tenth of a second.
 pub const ANSWER_TIMEOUT_MAX_MS: u64 = 100;
 /// Pause before a worker that has not answered once is called again; doubles with
-/// each further call without an answer, up to [`RETRY_MS`].
+/// each further call without an answer, up to [`RETRY_BACKOFF_MAX_MS`].
 pub const RETRY_BACKOFF_MIN_MS: u64 = 2;
 /// Longest pause before a worker that did not answer is called again.
 pub const RETRY_BACKOFF_MAX_MS: u64 = 100;
@@ -48,7 +48,7 @@
 /// counted from the origin's last echo all the while.
 pub const ORIGIN_RECONNECT_GRACE_MS: u64 = 400;
 /// From the end of a link until nothing that was delegated over it runs: the
-/// other side's [`LINK_SILENT_MS`], then a lease that it renewed just before,
+/// other side's [`LINK_TIMEOUT_MS`], then a lease that it renewed just before,
 /// on a clock that is 2 % slow, and the crossing.
 pub const REDELEGATION_DELAY_MS: u64 = LINK_TIMEOUT_MS + LEASE_MS + 80;
 /// Most workers of one pool when a failure domain's pools are laid out: larger pools
--- a/crates/core/src/dispatch/order.rs
+++ b/crates/core/src/dispatch/order.rs
@@ -40,7 +40,7 @@
     /// End of the lease of all that runs there, by the worker's clock.
     pub deadline_ms: u64,
     /// After this time its answer is given up on.
-    pub answer_ms: u64,
+    pub answer_timeout_ms: u64,
 }
 
 /// Stops one run.
@@ -53,7 +53,7 @@
     /// Number of the run.
     pub run_id: u64,
     /// After this time its answer is given up on.
-    pub answer_ms: u64,
+    pub answer_timeout_ms: u64,
 }
 
 /// Renews the lease, acknowledges ends, asks what runs and what has ended.
@@ -66,15 +66,15 @@
     /// End of the lease by the worker's clock; none renews nothing.
     pub deadline_ms: Option<u64>,
     /// Number of the last end that was taken in.
-    pub ends_upto: u64,
+    pub acked_completion: u64,
     /// How long the answer may wait for something to end.
     pub wait_ms: u64,
     /// After this time more its answer is given up on.
-    pub answer_ms: u64,
+    pub answer_timeout_ms: u64,
 }
 
 /// How a worker took a start or a stop.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+#[derive(Clone, Copy, derive_more::Debug, PartialEq, Eq)]
 pub enum OrderOutcome {
     /// Done. The worker's clock stood at `clock_ms`.
     Done {
@@ -86,20 +86,22 @@
     /// Not done, for another reason that the worker gave.
     Rejected(Rejection),
     /// Not done: another life of the worker answered.
-    OtherLife,
+    #[debug("OtherLife")]
+    WrongIncarnation,
     /// Unknown: it may have been done, or may be done yet.
     NoAnswer,
 }
 
 /// Why a worker did not do what it was told.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+#[derive(Clone, Copy, derive_more::Debug, PartialEq, Eq)]
 pub enum Rejection {
     /// The run is not newer than one that it knows to be over.
     OldRun,
     /// The deadline had passed when the order arrived.
     Late,
     /// The task does not fit.
-    NoRoom,
+    #[debug("NoRoom")]
+    NoCapacity,
     /// It is unhealthy.
     Unhealthy,
     /// It cannot read the order.
@@ -125,11 +127,11 @@
     /// Number of the run.
     pub run_id: u64,
     /// How it ended.
-    pub how: RunOutcome,
+    pub outcome: RunOutcome,
 }
 
 /// How a run ended.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+#[derive(Clone, Copy, derive_more::Debug, PartialEq, Eq)]
 pub enum RunOutcome {
     /// The task is done.
     Done,
@@ -138,25 +140,26 @@
     /// It was stopped by an order.
     Stopped,
     /// Its lease lapsed, or it ended for a reason that is no fault of the task.
-    Lapsed,
+    #[debug("Lapsed")]
+    LeaseExpired,
 }
 
 /// How a worker answered a hold.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum RenewOutcome {
     /// What runs and what has ended there.
-    Held {
+    Renewed {
         /// Milliseconds of the worker's clock.
         clock_ms: u64,
         /// All that runs.
         running: Vec<ListedRun>,
         /// Ends beyond those acknowledged, oldest first.
-        ended: Vec<RunCompletion>,
+        completions: Vec<RunCompletion>,
     },
     /// The fence was outranked.
     Fenced,
     /// Another life of the worker answered.
-    OtherLife,
+    WrongIncarnation,
     /// It answered that it cannot.
     Unhealthy,
     /// No answer.
--- a/crates/core/src/dispatch/owner.rs
+++ b/crates/core/src/dispatch/owner.rs
@@ -166,8 +166,8 @@
             self.set_worker(record, out);
         }
         for (key, worker) in &mut self.workers {
-            if worker.unlisted_ms.is_none() && !listed.contains(&worker.record.id) {
-                worker.unlisted_ms = Some(now_ms);
+            if worker.unlisted_since_ms.is_none() && !listed.contains(&worker.record.id) {
+                worker.unlisted_since_ms = Some(now_ms);
                 self.dirty.insert(key);
                 out.push(Command::Note(Note::worker("unlisted", worker)));
             }
@@ -186,13 +186,13 @@
                 note.detail = format!("{:?} to {:?}", worker.record.capacity, record.capacity);
                 out.push(Command::Note(note));
             }
-            worker.unlisted_ms = None;
+            worker.unlisted_since_ms = None;
             worker.record = record;
             return;
         }
         let id = record.id.clone();
         let mut worker = Worker::new(record, self.fence);
-        worker.announced = self.may_use(&id);
+        worker.in_stored_roster = self.may_use(&id);
         out.push(Command::Note(Note::worker("listed", &worker)));
         let key = self.workers.insert(worker);
         self.worker_ids.insert(id, key);
@@ -239,7 +239,7 @@
         self.run_times.refine(&mut spec);
         let mut job = Job::new(spec, origin, now_ms);
         job.unsafe_until_ms = now_ms + unsafe_for_ms;
-        job.cleared_by = self.clearance.of(unsafe_holder);
+        job.start_barrier = self.clearance.of(unsafe_holder);
         let key = self.jobs.insert(job);
         self.job_ids.insert(id, key);
         self.adopt(key);
@@ -247,7 +247,7 @@
         if self.jobs[key].is_done() {
             self.finish(now_ms, key, Outcome::Completed, "its tasks were done", out);
         }
-        let work = self.jobs.get(key).map_or(0, Job::waiting_work);
+        let work = self.jobs.get(key).map_or(0, Job::waiting_millicore_ms);
         self.send_away(now_ms, out);
         self.settle(now_ms, out);
         self.judge_new(now_ms, key, work, out);
@@ -297,7 +297,7 @@
         let fenced = self.all_fenced();
         let hopeless = |job: &Job| {
             let safe = job.is_safe(now_ms, fenced);
-            safe && !job.started && !job.stopping && job.is_hopeless(now_ms)
+            safe && !job.started && !job.stopping && job.is_expired(now_ms)
         };
         let keys: Vec<JobKey> = self
             .jobs
@@ -344,6 +344,6 @@
         target,
         task: run.task.clone(),
         run_id: run.run_id,
-        answer_ms,
+        answer_timeout_ms: answer_ms,
     }));
 }
--- a/crates/core/src/dispatch/owner/adopt.rs
+++ b/crates/core/src/dispatch/owner/adopt.rs
@@ -20,7 +20,7 @@
         }
         for (worker_key, worker) in &mut self.workers {
             for run in &mut worker.runs {
-                let free = matches!(run.owner, RunOwner::Nobody { .. });
+                let free = matches!(run.owner, RunOwner::Orphan { .. });
                 let stopping = matches!(run.state, RunState::Stopping { .. });
                 let Some(&index) = names.get(&run.task).filter(|_| free) else {
                     continue;
@@ -32,12 +32,12 @@
                     let not_before_ms = u64::MAX;
                     task.state = TaskState::Waiting { not_before_ms };
                 } else {
-                    task.state = TaskState::OnWorker(worker_key);
+                    task.state = TaskState::Assigned(worker_key);
                     let phase = job.spec.phases[usize::from(task.phase)].clone();
-                    run.room = Some(place::room_of(&phase));
+                    run.resources = Some(place::room_of(&phase));
                     run.estimate_ms = phase.estimate_ms;
                     run.expected_ms = phase.estimate_ms;
-                    run.patience = place::patience(run.expected_ms, 0);
+                    run.timeouts = place::patience(run.expected_ms, 0);
                 }
                 task.run_id = task.run_id.max(run.run_id);
                 run.owner = RunOwner::Task(key, index);
--- a/crates/core/src/dispatch/owner/answers.rs
+++ b/crates/core/src/dispatch/owner/answers.rs
@@ -19,7 +19,7 @@
         let position = worker.position(&answer.task, answer.run_id);
         match answer.outcome {
             OrderOutcome::Done { clock_ms } => {
-                worker.read_clock(now_ms, clock_ms);
+                worker.observe_clock(now_ms, clock_ms);
                 if let Some(position) = position {
                     let ordered_ms = worker.runs[position].ordered_ms;
                     self.answer_times.answered(now_ms - ordered_ms);
@@ -32,19 +32,21 @@
             }
             OrderOutcome::NoAnswer if newest => {
                 self.answer_times.unanswered();
-                worker.raise();
+                worker.raise_fence();
                 out.push(Command::Note(Note::run("start unanswered", worker, answer)));
             }
             OrderOutcome::NoAnswer => self.answer_times.unanswered(),
             OrderOutcome::Fenced if newest => self.outranked(now_ms, answer.worker, out),
-            OrderOutcome::OtherLife => self.life_over(now_ms, answer.worker, out),
+            OrderOutcome::WrongIncarnation => self.life_over(now_ms, answer.worker, out),
             OrderOutcome::Fenced | OrderOutcome::Rejected(_) => {
                 out.push(Command::Note(Note::run("start rejected", worker, answer)));
                 match answer.outcome {
-                    OrderOutcome::Rejected(Rejection::Unhealthy) => worker.trust.failed(now_ms),
+                    OrderOutcome::Rejected(Rejection::Unhealthy) => {
+                        worker.health.record_failure(now_ms)
+                    }
                     OrderOutcome::Rejected(Rejection::OldRun) => self.run_seed += RUN_LEAP,
                     // What is known of it is wrong: look again.
-                    OrderOutcome::Rejected(_) => worker.raise(),
+                    OrderOutcome::Rejected(_) => worker.raise_fence(),
                     _ => {}
                 }
                 if let Some(position) = position {
@@ -73,10 +75,10 @@
         };
         let newest = answer.fence == worker.fence;
         match answer.outcome {
-            OrderOutcome::Done { clock_ms } => worker.read_clock(now_ms, clock_ms),
-            OrderOutcome::NoAnswer if newest => worker.raise(),
+            OrderOutcome::Done { clock_ms } => worker.observe_clock(now_ms, clock_ms),
+            OrderOutcome::NoAnswer if newest => worker.raise_fence(),
             OrderOutcome::Fenced if newest => self.outranked(now_ms, answer.worker, out),
-            OrderOutcome::OtherLife => self.life_over(now_ms, answer.worker, out),
+            OrderOutcome::WrongIncarnation => self.life_over(now_ms, answer.worker, out),
             OrderOutcome::NoAnswer | OrderOutcome::Fenced | OrderOutcome::Rejected(_) => {}
         }
         self.dirty.insert(answer.worker);
@@ -86,7 +88,7 @@
     /// Another owner has taken the worker: this one is no longer the owner.
     pub(super) fn outranked(&mut self, now_ms: u64, key: WorkerKey, out: &mut Vec<Command>) {
         let worker = &mut self.workers[key];
-        worker.standing = FencingState::Outranked;
+        worker.fencing = FencingState::Superseded;
         out.push(Command::Note(Note::worker("outranked", worker)));
         out.push(Command::Outranked);
         self.release(now_ms, out);
--- a/crates/core/src/dispatch/owner/clearance.rs
+++ b/crates/core/src/dispatch/owner/clearance.rs
@@ -103,7 +103,7 @@
         let announced = self.announced.as_ref();
         for worker in self.workers.values_mut() {
             let id = &worker.record.id;
-            worker.announced = announced.is_none_or(|roster| roster.contains(id));
+            worker.in_stored_roster = announced.is_none_or(|roster| roster.contains(id));
         }
     }
 }
--- a/crates/core/src/dispatch/owner/closure.rs
+++ b/crates/core/src/dispatch/owner/closure.rs
@@ -87,7 +87,7 @@
             return;
         }
         let jobs = self.jobs.iter().filter(|(_, job)| {
-            let waits = job.tasks.iter().any(Task::waits);
+            let waits = job.tasks.iter().any(Task::is_waiting);
             waits && !job.stopping && !self.may_start(now_ms, job.started)
         });
         let keys: Vec<JobKey> = jobs.map(|(key, _)| key).collect();
--- a/crates/core/src/dispatch/owner/crashes.rs
+++ b/crates/core/src/dispatch/owner/crashes.rs
@@ -105,7 +105,7 @@
                 let job = self.jobs.get(key);
                 job.is_some_and(|job| job.tasks[index].is_suspect())
             }
-            RunOwner::Nobody { .. } => false,
+            RunOwner::Orphan { .. } => false,
         })
     }
 }
--- a/crates/core/src/dispatch/owner/endings.rs
+++ b/crates/core/src/dispatch/owner/endings.rs
@@ -29,7 +29,7 @@
 
     pub(super) fn drop_if_ended(&mut self, key: JobKey) {
         let job = &self.jobs[key];
-        if job.origin.is_none() && !job.on_workers() {
+        if job.origin.is_none() && !job.has_assigned_tasks() {
             let id = job.spec.id.clone();
             self.jobs.remove(key);
             if self.job_ids.get(&id) == Some(&key) {
@@ -44,7 +44,7 @@
         for (_, worker) in &mut self.workers {
             for run in &mut worker.runs {
                 if matches!(run.owner, RunOwner::Task(job, _) if job == key) {
-                    run.owner = RunOwner::Nobody { stop_at_ms: now_ms };
+                    run.owner = RunOwner::Orphan { stop_at_ms: now_ms };
                 }
             }
         }
@@ -63,7 +63,7 @@
         let keys: Vec<JobKey> = self.jobs.keys().collect();
         for key in keys {
             let job = &self.jobs[key];
-            let outcome = match (job.on_workers(), job.started) {
+            let outcome = match (job.has_assigned_tasks(), job.started) {
                 (true, _) => Outcome::Lost,
                 (false, true) => Outcome::Stopped,
                 (false, false) => Outcome::Returned,
--- a/crates/core/src/dispatch/owner/ends.rs
+++ b/crates/core/src/dispatch/owner/ends.rs
@@ -15,20 +15,20 @@
         let Some(worker) = self.workers.get_mut(key) else {
             return;
         };
-        if end.number <= worker.ends_upto {
+        if end.number <= worker.last_completion {
             return;
         }
-        worker.ends_upto = end.number;
-        worker.ended_ms = now_ms;
+        worker.last_completion = end.number;
+        worker.last_completion_ms = now_ms;
         let Some(position) = worker.position(&end.task, end.run_id) else {
             return self.take_orphan_end(now_ms, end, out);
         };
         let run = worker.runs.swap_remove(position);
         let took_ms = now_ms.saturating_sub(run.ordered_ms);
-        match end.how {
+        match end.outcome {
             RunOutcome::Done => {
-                let slowness = worker.trust.slowness;
-                worker.trust.done(run.estimate_ms, took_ms);
+                let slowness = worker.health.slowdown;
+                worker.health.record_success(run.estimate_ms, took_ms);
                 if let RunOwner::Task(job, _) = run.owner
                     && let Some(job) = self.jobs.get(job)
                 {
@@ -36,22 +36,22 @@
                 }
             }
             RunOutcome::Failed => self.blame(now_ms, key, run.owner),
-            RunOutcome::Stopped | RunOutcome::Lapsed => {}
+            RunOutcome::Stopped | RunOutcome::LeaseExpired => {}
         }
-        if end.how != RunOutcome::Done {
+        if end.outcome != RunOutcome::Done {
             let mut note = Note::job("run ended", &end.task);
             note.worker = self.workers[key].record.id.to_string();
-            note.detail = format!("{:?} after {took_ms} ms", end.how);
+            note.detail = format!("{:?} after {took_ms} ms", end.outcome);
             out.push(Command::Note(note));
         }
-        match (end.how, run.owner) {
+        match (end.outcome, run.owner) {
             (RunOutcome::Done, RunOwner::Task(job, index)) => {
                 self.task_done(now_ms, job, index, out)
             }
             (RunOutcome::Failed, RunOwner::Task(job, index)) => {
                 self.task_failed(now_ms, job, index, out);
             }
-            (RunOutcome::Done, RunOwner::Nobody { .. }) => self.take_orphan_end(now_ms, end, out),
+            (RunOutcome::Done, RunOwner::Orphan { .. }) => self.take_orphan_end(now_ms, end, out),
             (_, owner) => self.requeue(now_ms, &owner, 0),
         }
     }
@@ -66,18 +66,18 @@
     fn blame(&mut self, now_ms: u64, key: WorkerKey, owner: RunOwner) {
         let job = match owner {
             RunOwner::Task(job, _) => self.jobs.get_mut(job),
-            RunOwner::Nobody { .. } => None,
+            RunOwner::Orphan { .. } => None,
         };
         let suspect = job.and_then(|job| {
-            job.failed(key);
+            job.record_failure(key);
             job.is_suspect().then_some(job)
         });
         let Some(job) = suspect else {
-            return self.workers[key].trust.failed(now_ms);
+            return self.workers[key].health.record_failure(now_ms);
         };
         for &blamed in &job.failed_on {
             if let Some(worker) = self.workers.get_mut(blamed) {
-                worker.trust.forgive();
+                worker.health.clear_single_failure();
             }
         }
     }
@@ -86,13 +86,14 @@
     fn take_orphan_end(&mut self, now_ms: u64, end: &RunCompletion, out: &mut Vec<Command>) {
         match self.find_task(&end.task) {
             Some((job, index)) => {
-                let waits = self.jobs[job].tasks[index].waits();
-                if end.how == RunOutcome::Done && waits {
+                let waits = self.jobs[job].tasks[index].is_waiting();
+                if end.outcome == RunOutcome::Done && waits {
                     self.task_done(now_ms, job, index, out);
                 }
             }
             None => {
-                self.orphan_ends.insert(end.task.clone(), (end.how, now_ms));
+                self.orphan_ends
+                    .insert(end.task.clone(), (end.outcome, now_ms));
             }
         }
     }
--- a/crates/core/src/dispatch/owner/figures.rs
+++ b/crates/core/src/dispatch/owner/figures.rs
@@ -38,24 +38,24 @@
     /// Load of the workers, for entries to choose by.
     pub fn load(&self, now_ms: u64) -> Load {
         let open = self.workers.values().filter(|worker| {
-            worker.standing == FencingState::Fenced
-                && worker.announced
+            worker.fencing == FencingState::Fenced
+                && worker.in_stored_roster
                 && !worker.has_left(now_ms)
                 && !worker.record.draining
         });
         let mut load = Load::default();
-        for worker in open.filter(|worker| !worker.trust.is_doubted()) {
+        for worker in open.filter(|worker| !worker.health.is_on_probation()) {
             load.serving = true;
             load.capacity_millicores += worker.record.capacity.cpu_millicores;
-            load.free_millicores += worker.free().cpu_millicores;
+            load.free_millicores += worker.free_resources().cpu_millicores;
             for run in &worker.runs {
-                let cpu = run.room.map_or(0, |room| room.cpu_millicores);
+                let cpu = run.resources.map_or(0, |room| room.cpu_millicores);
                 let end_ms = run.ordered_ms + run.expected_ms;
                 load.backlog_millicore_ms += cpu * end_ms.saturating_sub(now_ms);
             }
         }
         let jobs = self.jobs.values().filter(|job| !job.stopping);
-        load.backlog_millicore_ms += jobs.map(Job::waiting_work).sum::<u64>();
+        load.backlog_millicore_ms += jobs.map(Job::waiting_millicore_ms).sum::<u64>();
         load.closed = self.is_closed();
         load.serving &= !self.released && self.is_open();
         load
@@ -63,7 +63,7 @@
 
     /// Counts for metrics and tests: jobs here, workers fenced, runs.
     pub fn sizes(&self) -> Sizes {
-        let fenced = |worker: &&Worker| worker.standing == FencingState::Fenced;
+        let fenced = |worker: &&Worker| worker.fencing == FencingState::Fenced;
         Sizes {
             jobs: self.jobs.len(),
             waiting: self.waiting_jobs(),
--- a/crates/core/src/dispatch/owner/holds.rs
+++ b/crates/core/src/dispatch/owner/holds.rs
@@ -22,7 +22,7 @@
         }
         let overdue_ms = self.overdue_on(now_ms, key);
         let worker = &mut self.workers[key];
-        let unacked = worker.acked_upto < worker.ends_upto;
+        let unacked = worker.acked_completion < worker.last_completion;
         if worker.has_left(now_ms) && worker.runs.is_empty() && !unacked {
             // It may come back, and has seen this fence.
             self.fence = self.fence.max(worker.fence);
@@ -31,43 +31,47 @@
             self.worker_ids.remove(&id);
             return;
         }
-        let open = worker.hold.is_some_and(|hold| hold.fence == worker.fence);
-        if (open && !worker.look_due) || now_ms < worker.quiet_until_ms {
+        let open = worker
+            .renewal
+            .is_some_and(|hold| hold.fence == worker.fence);
+        if (open && !worker.poll_due) || now_ms < worker.backoff_until_ms {
             return;
         }
         let started = |run: &Run| !matches!(run.state, RunState::Starting(_));
-        let wait_ms = match worker.standing {
-            FencingState::Outranked => return,
+        let wait_ms = match worker.fencing {
+            FencingState::Superseded => return,
             FencingState::Unfenced => 0,
-            FencingState::Fenced if worker.look_due => 0,
+            FencingState::Fenced if worker.poll_due => 0,
             FencingState::Fenced if worker.runs.iter().any(started) => RENEW_WAIT_MS,
             FencingState::Fenced if !worker.runs.is_empty() || !unacked => return,
-            FencingState::Fenced if now_ms < worker.ended_ms + IDLE_ACK_DELAY_MS => return,
+            FencingState::Fenced if now_ms < worker.last_completion_ms + IDLE_ACK_DELAY_MS => {
+                return;
+            }
             FencingState::Fenced => 0,
         };
         // Neither runs that are being stopped nor starts of unknown fate get more time.
         let running = |run: &Run| matches!(run.state, RunState::Running);
-        let renews = !worker.silent && worker.runs.iter().any(running);
+        let renews = !worker.last_renewal_unanswered && worker.runs.iter().any(running);
         let deadline_ms = match renews {
-            true => worker.lease(now_ms, LEASE_MS, overdue_ms),
+            true => worker.extend_lease(now_ms, LEASE_MS, overdue_ms),
             false => None,
         };
-        worker.look_due = false;
-        worker.holds_sent += 1;
-        worker.hold = Some(OpenRenewal {
-            number: worker.holds_sent,
+        worker.poll_due = false;
+        worker.renewals_sent += 1;
+        worker.renewal = Some(OpenRenewal {
+            number: worker.renewals_sent,
             fence: worker.fence,
-            ends_upto: worker.ends_upto,
+            acked_completion: worker.last_completion,
             sent_ms: now_ms,
             wait_ms,
         });
         out.push(Command::Hold(RenewOrder {
             target: target_of(key, worker),
-            number: worker.holds_sent,
+            number: worker.renewals_sent,
             deadline_ms,
-            ends_upto: worker.ends_upto,
+            acked_completion: worker.last_completion,
             wait_ms,
-            answer_ms: self.answer_times.limit_ms(),
+            answer_timeout_ms: self.answer_times.limit_ms(),
         }));
     }
 
@@ -87,40 +91,40 @@
         let Some(worker) = self.workers.get_mut(key) else {
             return;
         };
-        if outcome == RenewOutcome::OtherLife {
+        if outcome == RenewOutcome::WrongIncarnation {
             self.life_over(now_ms, key, out);
             return self.settle(now_ms, out);
         }
-        let Some(hold) = worker.hold.filter(|hold| hold.number == number) else {
+        let Some(hold) = worker.renewal.filter(|hold| hold.number == number) else {
             return self.take_late_ends(now_ms, key, outcome, out);
         };
-        worker.hold = None;
+        worker.renewal = None;
         self.dirty.insert(key);
         if fence != worker.fence {
             return self.settle(now_ms, out);
         }
         match outcome {
-            RenewOutcome::Held {
+            RenewOutcome::Renewed {
                 clock_ms,
                 running,
-                ended,
+                completions: ended,
             } => {
-                worker.read_clock(now_ms, clock_ms);
-                let is_back = worker.standing == FencingState::Unfenced;
+                worker.observe_clock(now_ms, clock_ms);
+                let is_back = worker.fencing == FencingState::Unfenced;
                 if is_back {
-                    worker.standing = FencingState::Fenced;
+                    worker.fencing = FencingState::Fenced;
                     out.push(Command::Note(Note::worker("fenced", worker)));
                 }
                 if self.clearance.fenced(&worker.record.id) {
                     self.queue.invalidate();
                 }
-                worker.silent = false;
-                worker.misses = 0;
-                worker.heard_ms = now_ms;
+                worker.last_renewal_unanswered = false;
+                worker.unanswered_renewals = 0;
+                worker.last_heard_ms = now_ms;
                 if hold.wait_ms == 0 {
                     self.answer_times.answered(now_ms - hold.sent_ms);
                 }
-                worker.acked_upto = worker.acked_upto.max(hold.ends_upto);
+                worker.acked_completion = worker.acked_completion.max(hold.acked_completion);
                 for end in ended {
                     self.take_end(now_ms, key, &end, out);
                 }
@@ -130,17 +134,17 @@
                 }
             }
             RenewOutcome::Fenced => self.outranked(now_ms, key, out),
-            RenewOutcome::OtherLife => {}
+            RenewOutcome::WrongIncarnation => {}
             RenewOutcome::Unhealthy | RenewOutcome::NoAnswer => {
-                if worker.standing == FencingState::Fenced {
+                if worker.fencing == FencingState::Fenced {
                     out.push(Command::Note(Note::worker(
                         "lease renewal unanswered",
                         worker,
                     )));
                 }
-                worker.standing = FencingState::Unfenced;
-                worker.silent = true;
-                worker.missed(now_ms);
+                worker.fencing = FencingState::Unfenced;
+                worker.last_renewal_unanswered = true;
+                worker.record_unanswered_renewal(now_ms);
                 self.answer_times.unanswered();
             }
         }
@@ -155,7 +159,10 @@
         outcome: RenewOutcome,
         out: &mut Vec<Command>,
     ) {
-        if let RenewOutcome::Held { ended, .. } = outcome {
+        if let RenewOutcome::Renewed {
+            completions: ended, ..
+        } = outcome
+        {
             for end in ended {
                 self.take_end(now_ms, key, &end, out);
             }
@@ -224,14 +231,14 @@
     ) {
         let task = self.find_task(&listed.task);
         let waiting = |&(job, index): &(JobKey, usize)| {
-            !self.jobs[job].stopping && self.jobs[job].tasks[index].waits()
+            !self.jobs[job].stopping && self.jobs[job].tasks[index].is_waiting()
         };
         let adopted = task.filter(waiting);
         let (owner, room, expected_ms) = match adopted {
             Some((job_key, index)) => {
                 let job = &mut self.jobs[job_key];
                 job.started = true;
-                job.tasks[index].state = TaskState::OnWorker(key);
+                job.tasks[index].state = TaskState::Assigned(key);
                 job.tasks[index].run_id = listed.run_id;
                 let phase = &job.spec.phases[usize::from(job.tasks[index].phase)];
                 let room = place::room_of(phase);
@@ -245,7 +252,7 @@
                 // A second run of a task that runs elsewhere is stopped at once.
                 let grace_ms = if task.is_some() { 0 } else { ADOPTION_GRACE_MS };
                 let stop_at_ms = now_ms + grace_ms;
-                (RunOwner::Nobody { stop_at_ms }, None, 0)
+                (RunOwner::Orphan { stop_at_ms }, None, 0)
             }
         };
         let mut note = Note::job("run of previous owner found", &listed.task);
@@ -258,16 +265,16 @@
             run_id: listed.run_id,
             owner,
             state: RunState::Running,
-            room,
+            resources: room,
             ordered_ms: now_ms,
             confirmed_ms: now_ms,
             estimate_ms: expected_ms,
             expected_ms,
-            patience: place::patience(expected_ms, 0),
+            timeouts: place::patience(expected_ms, 0),
         });
         // The earlier owner may have renewed its lease just before.
-        worker.lapsed_at_ms = worker
-            .lapsed_at_ms
+        worker.leases_expire_ms = worker
+            .leases_expire_ms
             .max(now_ms + LEASE_MAX_MS + IDLE_RETRY_BACKOFF_MAX_MS);
         self.dirty.insert(key);
     }
@@ -294,14 +301,14 @@
     fn expire_leases(&mut self, now_ms: u64, out: &mut Vec<Command>) {
         let mut lost = Vec::new();
         for (key, worker) in &mut self.workers {
-            let answers = worker.standing == FencingState::Fenced;
-            if answers || worker.runs.is_empty() || now_ms < worker.lapsed_at_ms {
+            let answers = worker.fencing == FencingState::Fenced;
+            if answers || worker.runs.is_empty() || now_ms < worker.leases_expire_ms {
                 continue;
             }
             out.push(Command::Note(Note::worker("leases expired", worker)));
-            worker.trust.failed(now_ms);
+            worker.health.record_failure(now_ms);
             // What was ordered under the present fence must not start any more.
-            worker.raise();
+            worker.raise_fence();
             lost.push((key, std::mem::take(&mut worker.runs)));
         }
         if !lost.is_empty() {
--- a/crates/core/src/dispatch/owner/judge.rs
+++ b/crates/core/src/dispatch/owner/judge.rs
@@ -119,7 +119,7 @@
     /// When the caller of a job that is refused now should come back.
     pub(super) fn retry_after_ms(&mut self, now_ms: u64, key: JobKey) -> u64 {
         let room = self.room_in_use(now_ms);
-        let work = self.jobs[key].waiting_work();
+        let work = self.jobs[key].waiting_millicore_ms();
         self.admission.retry_after_ms(now_ms, room, work)
     }
 
@@ -135,12 +135,12 @@
     fn forecast(&self, now_ms: u64) -> Forecast {
         let mut forecast = Forecast::new(now_ms);
         let usable = self.workers.values();
-        for worker in usable.filter(|worker| worker.takes_tasks_soon(now_ms)) {
-            if worker.standing == FencingState::Unfenced {
-                forecast.frees(now_ms + FENCING_MS, worker.free().cpu_millicores);
+        for worker in usable.filter(|worker| worker.accepts_tasks_soon(now_ms)) {
+            if worker.fencing == FencingState::Unfenced {
+                forecast.frees(now_ms + FENCING_MS, worker.free_resources().cpu_millicores);
             }
             for run in &worker.runs {
-                let millicores = run.room.map_or(0, |room| room.cpu_millicores);
+                let millicores = run.resources.map_or(0, |room| room.cpu_millicores);
                 forecast.runs(run.ordered_ms, run.expected_ms, millicores);
             }
         }
@@ -150,10 +150,10 @@
     /// Room of the workers that take tasks.
     fn room_in_use(&self, now_ms: u64) -> RoomInUse {
         let usable = self.workers.values();
-        let usable = usable.filter(|worker| worker.takes_tasks_soon(now_ms));
+        let usable = usable.filter(|worker| worker.accepts_tasks_soon(now_ms));
         usable.fold(RoomInUse::default(), |sum, worker| RoomInUse {
             capacity_millicores: sum.capacity_millicores + worker.record.capacity.cpu_millicores,
-            free_millicores: sum.free_millicores + worker.free().cpu_millicores,
+            free_millicores: sum.free_millicores + worker.free_resources().cpu_millicores,
         })
     }
 }
--- a/crates/core/src/dispatch/owner/origins.rs
+++ b/crates/core/src/dispatch/owner/origins.rs
@@ -25,7 +25,7 @@
         let runs = self.workers[key].runs.iter();
         let overdue = runs.filter_map(|run| match run.owner {
             RunOwner::Task(job, _) => self.jobs.get(job),
-            RunOwner::Nobody { .. } => None,
+            RunOwner::Orphan { .. } => None,
         });
         let overdue = overdue.map(|job| self.overdue_ms(now_ms, job.origin));
         overdue.max().unwrap_or(0)
--- a/crates/core/src/dispatch/owner/overdue.rs
+++ b/crates/core/src/dispatch/owner/overdue.rs
@@ -38,9 +38,9 @@
     let passed = |from_ms: u64, time_ms: u64| now_ms >= from_ms + time_ms;
     match (run.state, run.owner) {
         (RunState::Stopping { ordered_ms }, _) if passed(ordered_ms, STOP_AGAIN_MS) => Due::Stop,
-        (RunState::Running, RunOwner::Nobody { stop_at_ms }) if now_ms >= stop_at_ms => Due::Stop,
+        (RunState::Running, RunOwner::Orphan { stop_at_ms }) if now_ms >= stop_at_ms => Due::Stop,
         (RunState::Running, RunOwner::Task(job, index)) => {
-            let RunTimeouts { check_ms, stall_ms } = run.patience;
+            let RunTimeouts { check_ms, stall_ms } = run.timeouts;
             let (check_ms, again) = match is_lossy {
                 true => (
                     check_ms.min(run.expected_ms),
@@ -70,14 +70,14 @@
         let answer_ms = self.answer_times.limit_ms();
         let is_lossy = self.answer_times.is_lossy();
         let worker = &mut self.workers[key];
-        if worker.standing != FencingState::Fenced {
+        if worker.fencing != FencingState::Fenced {
             return;
         }
         let target = target_of(key, worker);
         let mut stalled = Vec::new();
         let mut asked_for = None;
         for run in &mut worker.runs {
-            match due(run, now_ms, worker.heard_ms, is_lossy) {
+            match due(run, now_ms, worker.last_heard_ms, is_lossy) {
                 Due::Nothing => continue,
                 Due::Ask => {
                     asked_for.get_or_insert_with(|| run.task.clone());
@@ -93,14 +93,14 @@
             stop_run(now_ms, run, target.clone(), answer_ms, out);
         }
         if !stalled.is_empty() {
-            worker.trust.failed(now_ms);
+            worker.health.record_failure(now_ms);
         }
         if let Some(task) = asked_for {
             let mut note = Note::job("polling for completion", &task);
             note.worker = worker.record.id.to_string();
-            note.last_heard_ms = Some(now_ms - worker.heard_ms);
+            note.last_heard_ms = Some(now_ms - worker.last_heard_ms);
             out.push(Command::Note(note));
-            worker.look();
+            worker.request_poll();
         }
         for (job, index) in stalled {
             if let Some(job) = self.jobs.get_mut(job) {
--- a/crates/core/src/dispatch/owner/place.rs
+++ b/crates/core/src/dispatch/owner/place.rs
@@ -103,7 +103,7 @@
             shares.uses(&job.spec.class, 0);
         }
         for run in self.workers.values().flat_map(|worker| &worker.runs) {
-            if let (RunOwner::Task(key, _), Some(room)) = (run.owner, run.room)
+            if let (RunOwner::Task(key, _), Some(room)) = (run.owner, run.resources)
                 && let Some(job) = self.jobs.get(key)
             {
                 shares.uses(&job.spec.class, room.cpu_millicores);
@@ -144,10 +144,10 @@
 
     fn open_workers(&self, now_ms: u64) -> Vec<Open> {
         let open = self.workers.iter();
-        let open = open.filter(|(_, worker)| worker.is_open(now_ms));
+        let open = open.filter(|(_, worker)| worker.accepts_tasks(now_ms));
         let open = open.map(|(key, worker)| Open {
             key,
-            free: worker.free(),
+            free: worker.free_resources(),
             runs: worker.runs.len(),
             has_suspect: self.has_suspect(worker),
         });
@@ -161,8 +161,9 @@
         let due =
             matches!(task.state, TaskState::Waiting { not_before_ms } if not_before_ms <= now_ms);
         // One run at a time shows whether it can be done at all.
-        let held = job.is_suspect() && (job.probe() != Some(index) || job.on_workers());
-        due && !held && job.phase_ready(usize::from(task.phase))
+        let held =
+            job.is_suspect() && (job.probe_task() != Some(index) || job.has_assigned_tasks());
+        due && !held && job.is_phase_ready(usize::from(task.phase))
     }
 
     /// Starts a task where it costs least; false where it fits nowhere.
@@ -209,7 +210,7 @@
         let allowed = open.free.fits(room)
             && !(is_suspect && open.has_suspect)
             && *worker.record.service == *job.spec.service
-            && worker.trust.admits(now_ms, open.runs)
+            && worker.health.allows_task(now_ms, open.runs)
             && (label.is_empty() || worker.record.labels.contains(label))
             && (phase.per_worker_max == 0
                 || self.count_on(open.key, job, index) < phase.per_worker_max);
@@ -225,7 +226,7 @@
         let avoid = if avoided { AVOID_COST } else { 0.0 };
         let shares = open.has_suspect || (is_suspect && open.runs > 0);
         let risk = if shares { SUSPECT_COST } else { 0.0 };
-        Some(worker.trust.slowness * distance + STRANDED_WEIGHT * stranded + avoid + risk)
+        Some(worker.health.slowdown * distance + STRANDED_WEIGHT * stranded + avoid + risk)
     }
 
     /// Tasks of the same phase that may run on a worker.
@@ -233,7 +234,7 @@
         let phase = job.tasks[index].phase;
         let there = job.tasks.iter().filter(|task| task.phase == phase);
         there
-            .filter(|task| task.state == TaskState::OnWorker(key))
+            .filter(|task| task.state == TaskState::Assigned(key))
             .count() as u32
     }
 
@@ -248,7 +249,7 @@
         let overdue_ms = self.overdue_ms(now_ms, self.jobs[key].origin);
         let overdue_ms = overdue_ms.max(self.overdue_on(now_ms, worker_key));
         let worker = &mut self.workers[worker_key];
-        let Some(deadline_ms) = worker.lease(now_ms, START_LEASE_MS, overdue_ms) else {
+        let Some(deadline_ms) = worker.extend_lease(now_ms, START_LEASE_MS, overdue_ms) else {
             return;
         };
         self.run_seed += 1;
@@ -257,24 +258,24 @@
         let phase = job.phase(&job.tasks[index]);
         let room = room_of(phase);
         let estimate_ms = phase.estimate_ms;
-        let expected_ms = (estimate_ms as f64 * worker.trust.slowness) as u64;
+        let expected_ms = (estimate_ms as f64 * worker.health.slowdown) as u64;
         // A caller's estimate may be far too low for its class.
         let mean_ms = self.run_times.mean_ms(&job.spec.class);
-        let mean_ms = mean_ms.map_or(0, |mean_ms| (mean_ms * worker.trust.slowness) as u64);
+        let mean_ms = mean_ms.map_or(0, |mean_ms| (mean_ms * worker.health.slowdown) as u64);
         let task = &mut job.tasks[index];
         task.run_id = self.run_seed.max(task.run_id + 1);
-        task.state = TaskState::OnWorker(worker_key);
+        task.state = TaskState::Assigned(worker_key);
         worker.runs.push(Run {
             task: task.name.clone(),
             run_id: task.run_id,
             owner: RunOwner::Task(key, index),
             state: RunState::Starting(worker.fence),
-            room: Some(room),
+            resources: Some(room),
             ordered_ms: now_ms,
             confirmed_ms: now_ms,
             estimate_ms,
             expected_ms,
-            patience: patience(expected_ms.max(mean_ms), task.stalls),
+            timeouts: patience(expected_ms.max(mean_ms), task.stalls),
         });
         out.push(Command::Start(StartOrder {
             target: target_of(worker_key, worker),
@@ -282,7 +283,7 @@
             run_id: task.run_id,
             spec: job.task_spec.clone(),
             deadline_ms,
-            answer_ms: self.answer_times.limit_ms(),
+            answer_timeout_ms: self.answer_times.limit_ms(),
         }));
     }
 }
--- a/crates/core/src/dispatch/owner/queue.rs
+++ b/crates/core/src/dispatch/owner/queue.rs
@@ -151,7 +151,7 @@
     let lateness = lateness(job, now_ms);
     let end_ms = match lateness {
         Lateness::InTime => job.objective_ms(1.0),
-        Lateness::Late | Lateness::TooLate => job.too_late_ms(),
+        Lateness::Late | Lateness::TooLate => job.expiry_ms(),
     };
     Rank {
         unbegun: !job.started,
@@ -167,7 +167,7 @@
     let end_ms = begin_ms + job.remaining_ms();
     if end_ms <= job.objective_ms(1.0) {
         Lateness::InTime
-    } else if end_ms <= job.too_late_ms() && end_ms <= job.leaves_ms() {
+    } else if end_ms <= job.expiry_ms() && end_ms <= job.caller_deadline_ms() {
         Lateness::Late
     } else {
         Lateness::TooLate
@@ -180,6 +180,6 @@
     if !job.is_safe(now_ms, fenced) || job.stopping || job.paused {
         return None;
     }
-    let tasks = job.tasks.iter().filter(|task| task.waits());
+    let tasks = job.tasks.iter().filter(|task| task.is_waiting());
     tasks.map(|task| job.phase(task).cpu_millicores).min()
 }
--- a/crates/core/src/dispatch/owner/reserve.rs
+++ b/crates/core/src/dispatch/owner/reserve.rs
@@ -25,14 +25,14 @@
         if !job.started || lateness(job, now_ms) == Lateness::InTime {
             return;
         }
-        let tasks = job.tasks.iter().filter(|task| task.waits());
+        let tasks = job.tasks.iter().filter(|task| task.is_waiting());
         let tasks = tasks.take(KEPT_MAX);
         let rooms: Vec<Resources> = tasks.map(|task| room_of(job.phase(task))).collect();
         let Some(room) = rooms.first() else {
             return;
         };
         let workers = self.workers.iter();
-        let workers = workers.filter(|(_, worker)| worker.is_open(now_ms));
+        let workers = workers.filter(|(_, worker)| worker.accepts_tasks(now_ms));
         let mut soonest: Vec<(u64, WorkerKey)> = workers
             .filter_map(|(key, worker)| Some((free_at_ms(worker, room)?, key)))
             .collect();
@@ -54,12 +54,12 @@
         .map(|run| {
             (
                 run.ordered_ms + run.expected_ms,
-                run.room.unwrap_or_default(),
+                run.resources.unwrap_or_default(),
             )
         })
         .collect();
     runs.sort_by_key(|&(end_ms, _)| end_ms);
-    let mut free = worker.free();
+    let mut free = worker.free_resources();
     let mut at_ms = 0;
     for (end_ms, freed) in runs {
         if free.fits(room) {
--- a/crates/core/src/dispatch/ownership.rs
+++ b/crates/core/src/dispatch/ownership.rs
@@ -70,7 +70,7 @@
     /// It no longer owns this pool.
     Released(String),
     /// Somebody else's claim was learned: a pool's new owner.
-    Learned(Claim),
+    OwnerChanged(Claim),
 }
 
 /// What the store's record of a claim holds.
@@ -168,7 +168,7 @@
     }
 
     /// Takes in a claim from the store, with its record's revision.
-    pub fn stored_claim(
+    pub fn learn_stored_claim(
         &mut self,
         now_ms: u64,
         record: ClaimRecord,
@@ -180,13 +180,13 @@
             return self.learn_remote(claim);
         }
         self.stored(&record, revision, out);
-        self.learn(now_ms, claim.clone(), false, out);
+        self.learn_claim(now_ms, claim.clone(), false, out);
         self.take_up(now_ms, claim, out);
     }
 
     /// The store holds something at a pool's record that names no claim: the next
     /// claim replaces it.
-    pub fn unreadable_claim(&mut self, name: &str, revision: u64) {
+    pub fn learn_unreadable_record(&mut self, name: &str, revision: u64) {
         let pool = self.pools.get_mut(name);
         if let Some(pool) = pool.filter(|pool| pool.stored.revision < revision) {
             pool.stored = Stored {
@@ -222,7 +222,13 @@
     }
 
     /// Takes in a claim from any source; the higher one counts.
-    pub fn learn(&mut self, now_ms: u64, claim: Claim, yielded: bool, out: &mut Vec<Command>) {
+    pub fn learn_claim(
+        &mut self,
+        now_ms: u64,
+        claim: Claim,
+        yielded: bool,
+        out: &mut Vec<Command>,
+    ) {
         if claim.failure_domain != self.me.failure_domain {
             return self.learn_remote(claim);
         }
@@ -253,7 +259,7 @@
         }
         pool.claim = Some(claim.clone());
         pool.learned_ms = now_ms;
-        out.push(Command::Learned(claim));
+        out.push(Command::OwnerChanged(claim));
     }
 
     /// Takes in a claim on another failure domain's pool.
@@ -268,7 +274,7 @@
     }
 
     /// A worker of a pool obeys a higher fence than this instance's.
-    pub fn outranked(&mut self, now_ms: u64, name: &str, out: &mut Vec<Command>) {
+    pub fn on_superseded(&mut self, now_ms: u64, name: &str, out: &mut Vec<Command>) {
         if let Some(pool) = self.pools.get_mut(name) {
             pool.quiet_until_ms = now_ms + OUTRANKED_PAUSE_MS;
             if std::mem::take(&mut pool.owns) {
@@ -278,10 +284,10 @@
     }
 
     /// Gives up all ownership after a stall: others may own the pools by now.
-    pub fn stalled(&mut self, now_ms: u64, out: &mut Vec<Command>) {
+    pub fn release_all(&mut self, now_ms: u64, out: &mut Vec<Command>) {
         let names: Vec<String> = self.pools.keys().cloned().collect();
         for name in names {
-            self.outranked(now_ms, &name, out);
+            self.on_superseded(now_ms, &name, out);
         }
         self.writing = None;
     }
--- a/crates/core/src/dispatch/ownership/candidates.rs
+++ b/crates/core/src/dispatch/ownership/candidates.rs
@@ -77,7 +77,7 @@
                 && self.may_be_up(now_ms, peer)
                 && peer.node.name != owner
                 && self.order(&peer.node) < own
-                && (self.is_mesh() || self.watches(&peer.node, name))
+                && (self.is_full_mesh() || self.watches(&peer.node, name))
         });
         before.take(TURN_MAX).count() as u64
     }
@@ -85,7 +85,7 @@
     fn may_be_up(&self, now_ms: u64, peer: &Peer) -> bool {
         // Where not all are linked, the store's list has to do.
         let lost_ms = peer.changed_ms.max(self.started_ms) + LISTED_ONLY_MS;
-        peer.is_linked() || (peer.listed && (!self.is_mesh() || now_ms < lost_ms))
+        peer.is_linked() || (peer.listed && (!self.is_full_mesh() || now_ms < lost_ms))
     }
 
     /// Place in the order of candidates; smaller ones come first.
--- a/crates/core/src/dispatch/ownership/neighbours.rs
+++ b/crates/core/src/dispatch/ownership/neighbours.rs
@@ -33,7 +33,7 @@
 
 impl Ownership {
     /// Whether all instances link with all.
-    pub fn is_mesh(&self) -> bool {
+    pub fn is_full_mesh(&self) -> bool {
         self.peers.len() <= MESH_MAX
     }
 
@@ -45,7 +45,7 @@
     pub fn desired_peers(&self) -> Vec<&Node> {
         let all = self.peers.values().map(|peer| &peer.node);
         let knows_owner = self.used_owners().flatten().next().is_some();
-        let is_small = self.is_mesh() && (knows_owner || !self.listing_grows);
+        let is_small = self.is_full_mesh() && (knows_owner || !self.listing_grows);
         if is_small {
             return all.collect();
         }
@@ -68,8 +68,8 @@
     }
 
     /// What a link's other side is told of: all instances, or all owners.
-    pub fn introductions(&self) -> Vec<Node> {
-        if self.is_mesh() {
+    pub fn known_nodes(&self) -> Vec<Node> {
+        if self.is_full_mesh() {
             return self.peers.values().map(|peer| peer.node.clone()).collect();
         }
         let claims = self.pools.values().filter_map(|pool| pool.claim.as_ref());
@@ -79,8 +79,8 @@
 
     /// Whether every pool that this instance uses has an owner that it is
     /// linked with. Until then the store may know of a new one.
-    pub fn is_settled(&self) -> bool {
-        self.is_mesh()
+    pub fn is_linked_to_owners(&self) -> bool {
+        self.is_full_mesh()
             || self.used_owners().all(|owner| {
                 owner.is_some_and(|owner| {
                     let peer = self.peers.get(&owner.name);
@@ -100,16 +100,16 @@
     }
 
     /// The pools of the failure domain that this instance uses.
-    pub fn home_pools(&self) -> Vec<String> {
+    pub fn local_pools(&self) -> Vec<String> {
         let pools = self.pools.keys();
-        let watched = pools.filter(|name| self.is_mesh() || self.watches(&self.me, name));
+        let watched = pools.filter(|name| self.is_full_mesh() || self.watches(&self.me, name));
         watched.cloned().collect()
     }
 
     /// Whether this instance claims a pool that is vacant: it watches the pool,
     /// or neither its owner nor an instance that watches it is left.
     pub(super) fn is_responsible_for(&self, name: &str) -> bool {
-        if self.is_mesh() || self.watches(&self.me, name) {
+        if self.is_full_mesh() || self.watches(&self.me, name) {
             return true;
         }
         let owner = self.pools[name].owner();
@@ -147,7 +147,7 @@
 
     /// Instances that use a pool, and want a link with its owner.
     pub fn users_of(&self, name: &str) -> Vec<&Node> {
-        if self.is_mesh() {
+        if self.is_full_mesh() {
             return Vec::new();
         }
         let peers = self.peers.values().filter(|peer| peer.is_present());
@@ -169,7 +169,7 @@
 
     /// Peers by which this instance judges whether it is cut off.
     pub(super) fn judging_peers(&self) -> Vec<&Peer> {
-        if self.is_mesh() {
+        if self.is_full_mesh() {
             return self.peers.values().collect();
         }
         let desired = self.desired_peers();
--- a/crates/core/src/dispatch/ownership/peers.rs
+++ b/crates/core/src/dispatch/ownership/peers.rs
@@ -48,7 +48,7 @@
 
     /// Instances of the failure domain, as the store lists them, whose names
     /// come before this one's.
-    pub fn listed_before(&self) -> usize {
+    pub fn rank_in_domain(&self) -> usize {
         let peers = self.peers.values();
         let before = peers.filter(|peer| {
             peer.listed
@@ -105,7 +105,7 @@
     }
 
     /// A link to an instance is up.
-    pub fn linked(&mut self, now_ms: u64, node: &Node) {
+    pub fn on_link_up(&mut self, now_ms: u64, node: &Node) {
         let peer = self.peer(now_ms, node);
         peer.node = node.clone();
         peer.link = LinkState::Up;
@@ -114,13 +114,13 @@
     }
 
     /// The link to an instance broke, which may mean that the instance is gone.
-    pub fn unlinked(&mut self, now_ms: u64, name: &str) {
+    pub fn on_link_down(&mut self, now_ms: u64, name: &str) {
         self.set_link(now_ms, name, LinkState::Broken);
     }
 
     /// The link to an instance was closed by agreement, which says nothing about
     /// the instance.
-    pub fn link_retired(&mut self, now_ms: u64, name: &str) {
+    pub fn on_link_closed(&mut self, now_ms: u64, name: &str) {
         self.set_link(now_ms, name, LinkState::Absent);
     }
 
@@ -132,7 +132,7 @@
     }
 
     /// An instance says whether it is leaving.
-    pub fn heard(&mut self, name: &str, leaving: bool) {
+    pub fn set_peer_leaving(&mut self, name: &str, leaving: bool) {
         if let Some(peer) = self.peers.get_mut(name) {
             peer.leaving = leaving;
         }
--- a/crates/core/src/dispatch/worker.rs
+++ b/crates/core/src/dispatch/worker.rs
@@ -95,7 +95,7 @@
     /// A task of a job here, by its position.
     Task(JobKey, usize),
     /// Nobody's here: an earlier owner's, or of a job that ended meanwhile.
-    Nobody {
+    Orphan {
         /// When it is stopped if no job claims it.
         stop_at_ms: u64,
     },
@@ -113,7 +113,7 @@
     /// How far it has come.
     pub state: RunState,
     /// What it takes; unknown of an earlier owner's runs.
-    pub room: Option<Resources>,
+    pub resources: Option<Resources>,
     /// When its start was ordered.
     pub ordered_ms: u64,
     /// When it was first known to be there, by an answer.
@@ -123,7 +123,7 @@
     /// How long it should take here.
     pub expected_ms: u64,
     /// How long it may take before something is done about it.
-    pub patience: RunTimeouts,
+    pub timeouts: RunTimeouts,
 }
 
 /// How long a run may take.
@@ -143,7 +143,7 @@
     /// It has; what runs there is known.
     Fenced,
     /// Another owner outranks this one.
-    Outranked,
+    Superseded,
 }
 
 /// The hold that is on its way or open at the worker.
@@ -154,7 +154,7 @@
     /// Fence that it went out with.
     pub fence: Fence,
     /// Last end that it acknowledges.
-    pub ends_upto: u64,
+    pub acked_completion: u64,
     /// When it was sent.
     pub sent_ms: u64,
     /// How long its answer may wait for something to end.
@@ -167,42 +167,42 @@
     /// What the registry says.
     pub record: WorkerRecord,
     /// Since when the registry lists it no more.
-    pub unlisted_ms: Option<u64>,
+    pub unlisted_since_ms: Option<u64>,
     /// Highest fence used there.
     pub fence: Fence,
     /// Whether it can be ordered.
-    pub standing: FencingState,
+    pub fencing: FencingState,
     /// Whether the owner may use it: a successor would know that it did.
-    pub announced: bool,
+    pub in_stored_roster: bool,
     /// What may run there.
     pub runs: Vec<Run>,
     /// The hold that is open, if any.
-    pub hold: Option<OpenRenewal>,
+    pub renewal: Option<OpenRenewal>,
     /// Holds sent so far.
-    pub holds_sent: u64,
+    pub renewals_sent: u64,
     /// Whether it is to be asked at once what runs there, beside the open hold.
-    pub look_due: bool,
+    pub poll_due: bool,
     /// Holds without an answer since the last one that had one.
-    pub misses: u32,
+    pub unanswered_renewals: u32,
     /// When a hold was last answered.
-    pub heard_ms: u64,
+    pub last_heard_ms: u64,
     /// Whether the last hold had no answer: leases are not renewed blindly,
     /// or what runs there would never be known to have lapsed.
-    pub silent: bool,
+    pub last_renewal_unanswered: bool,
     /// No call goes there before this instant.
-    pub quiet_until_ms: u64,
+    pub backoff_until_ms: u64,
     /// Number of the last end taken in.
-    pub ends_upto: u64,
+    pub last_completion: u64,
     /// Number of the last end that an answered hold has acknowledged.
-    pub acked_upto: u64,
+    pub acked_completion: u64,
     /// When the last end was taken in.
-    pub ended_ms: u64,
+    pub last_completion_ms: u64,
     /// Its clock, and the instant of its reading.
     clock: Option<(u64, u64)>,
     /// When all leases granted so far have lapsed.
-    pub lapsed_at_ms: u64,
+    pub leases_expire_ms: u64,
     /// Recent evidence on it.
-    pub trust: WorkerHealth,
+    pub health: WorkerHealth,
 }
 
 impl Worker {
@@ -210,32 +210,32 @@
     pub fn new(record: WorkerRecord, fence: Fence) -> Self {
         Self {
             record,
-            unlisted_ms: None,
+            unlisted_since_ms: None,
             fence,
-            standing: FencingState::Unfenced,
-            announced: true,
+            fencing: FencingState::Unfenced,
+            in_stored_roster: true,
             runs: Vec::new(),
-            hold: None,
-            holds_sent: 0,
-            look_due: false,
-            misses: 0,
-            heard_ms: 0,
-            silent: false,
-            quiet_until_ms: 0,
-            ends_upto: 0,
-            acked_upto: 0,
-            ended_ms: 0,
+            renewal: None,
+            renewals_sent: 0,
+            poll_due: false,
+            unanswered_renewals: 0,
+            last_heard_ms: 0,
+            last_renewal_unanswered: false,
+            backoff_until_ms: 0,
+            last_completion: 0,
+            acked_completion: 0,
+            last_completion_ms: 0,
             clock: None,
-            lapsed_at_ms: 0,
-            trust: WorkerHealth::default(),
+            leases_expire_ms: 0,
+            health: WorkerHealth::default(),
         }
     }
 
     /// Room beside all that may run there; none with a run of unknown size.
-    pub fn free(&self) -> Resources {
+    pub fn free_resources(&self) -> Resources {
         let mut free = self.record.capacity;
         for run in &self.runs {
-            match run.room {
+            match run.resources {
                 Some(room) => free = free.minus(&room),
                 None => return Resources::default(),
             }
@@ -245,38 +245,38 @@
 
     /// Whether the registry has not listed it for so long that it has left.
     pub fn has_left(&self, now_ms: u64) -> bool {
-        let since_ms = self.unlisted_ms;
+        let since_ms = self.unlisted_since_ms;
         since_ms.is_some_and(|since_ms| now_ms >= since_ms + UNLISTED_GRACE_MS)
     }
 
     /// Whether new tasks may go there.
-    pub fn is_open(&self, now_ms: u64) -> bool {
-        self.standing == FencingState::Fenced
-            && self.announced
+    pub fn accepts_tasks(&self, now_ms: u64) -> bool {
+        self.fencing == FencingState::Fenced
+            && self.in_stored_roster
             && !self.has_left(now_ms)
             && !self.record.draining
-            && self.trust.admits(now_ms, self.runs.len())
+            && self.health.allows_task(now_ms, self.runs.len())
     }
 
     /// Whether new tasks may go there, or may once it has answered a call that
     /// is on its way.
-    pub fn takes_tasks_soon(&self, now_ms: u64) -> bool {
-        self.standing != FencingState::Outranked
-            && !self.silent
+    pub fn accepts_tasks_soon(&self, now_ms: u64) -> bool {
+        self.fencing != FencingState::Superseded
+            && !self.last_renewal_unanswered
             && !self.has_left(now_ms)
             && !self.record.draining
-            && !self.trust.is_doubted()
+            && !self.health.is_on_probation()
     }
 
     /// A hold had no answer: when the next one may go out.
-    pub fn missed(&mut self, now_ms: u64) {
-        let pause_ms = RETRY_BACKOFF_MIN_MS << self.misses.min(8);
-        self.misses += 1;
+    pub fn record_unanswered_renewal(&mut self, now_ms: u64) {
+        let pause_ms = RETRY_BACKOFF_MIN_MS << self.unanswered_renewals.min(8);
+        self.unanswered_renewals += 1;
         let longest_ms = match self.runs.is_empty() {
             true => IDLE_RETRY_BACKOFF_MAX_MS,
             false => RETRY_BACKOFF_MAX_MS,
         };
-        self.quiet_until_ms = now_ms + pause_ms.min(longest_ms);
+        self.backoff_until_ms = now_ms + pause_ms.min(longest_ms);
     }
 
     /// Position of a run.
@@ -286,7 +286,7 @@
     }
 
     /// Takes in a reading of its clock.
-    pub fn read_clock(&mut self, now_ms: u64, clock_ms: u64) {
+    pub fn observe_clock(&mut self, now_ms: u64, clock_ms: u64) {
         let known_ms = self.clock_ms(now_ms);
         if known_ms.is_none_or(|known_ms| clock_ms > known_ms) {
             self.clock = Some((clock_ms, now_ms));
@@ -302,23 +302,23 @@
 
     /// A deadline for an order that goes out now, and notes the lease of
     /// `lease_ms`, cut by `cut_ms`; none where nothing is left of it.
-    pub fn lease(&mut self, now_ms: u64, lease_ms: u64, cut_ms: u64) -> Option<u64> {
+    pub fn extend_lease(&mut self, now_ms: u64, lease_ms: u64, cut_ms: u64) -> Option<u64> {
         let lease_ms = lease_ms.checked_sub(cut_ms)?;
         let deadline_ms = self.clock_ms(now_ms)? + lease_ms;
         let longest_ms = (lease_ms as f64 / (1.0 - CLOCK_DRIFT_MAX)) as u64 + 1;
-        self.lapsed_at_ms = self.lapsed_at_ms.max(now_ms + longest_ms);
+        self.leases_expire_ms = self.leases_expire_ms.max(now_ms + longest_ms);
         Some(deadline_ms)
     }
 
     /// Asks it at once what runs there, unless that is being asked.
-    pub fn look(&mut self) {
-        self.look_due = self.hold.is_none_or(|hold| hold.wait_ms > 0);
+    pub fn request_poll(&mut self) {
+        self.poll_due = self.renewal.is_none_or(|hold| hold.wait_ms > 0);
     }
 
     /// Raises the fence: earlier orders of unknown fate die with the next hold.
-    pub fn raise(&mut self) {
+    pub fn raise_fence(&mut self) {
         self.fence = self.fence.raised();
-        self.standing = FencingState::Unfenced;
+        self.fencing = FencingState::Unfenced;
     }
 }
 
@@ -341,7 +341,7 @@
     failures: u32,
     paused_until_ms: u64,
     /// Run times there against the estimates; 1 is as estimated.
-    pub slowness: f64,
+    pub slowdown: f64,
 }
 
 impl Default for WorkerHealth {
@@ -349,40 +349,40 @@
         Self {
             failures: 0,
             paused_until_ms: 0,
-            slowness: 1.0,
+            slowdown: 1.0,
         }
     }
 }
 
 impl WorkerHealth {
     /// Whether one more task may go there beside `runs` others.
-    pub fn admits(&self, now_ms: u64, runs: usize) -> bool {
+    pub fn allows_task(&self, now_ms: u64, runs: usize) -> bool {
         self.failures == 0 || (now_ms >= self.paused_until_ms && runs == 0)
     }
 
     /// Whether it has failed since it last got a task done.
-    pub fn is_doubted(&self) -> bool {
+    pub fn is_on_probation(&self) -> bool {
         self.failures > 0
     }
 
     /// A task was done there that takes `estimate_ms` at common speed.
-    pub fn done(&mut self, estimate_ms: u64, took_ms: u64) {
+    pub fn record_success(&mut self, estimate_ms: u64, took_ms: u64) {
         self.failures = 0;
         let ratio = took_ms as f64 / (estimate_ms.max(1) as f64);
         let ratio = ratio.clamp(*SLOWNESS.start(), *SLOWNESS.end());
-        self.slowness += SPEED_WEIGHT * (ratio - self.slowness);
+        self.slowdown += SPEED_WEIGHT * (ratio - self.slowdown);
     }
 
     /// Its only failure lately was its job's fault. Several are its own: they
     /// are of several jobs.
-    pub fn forgive(&mut self) {
+    pub fn clear_single_failure(&mut self) {
         if self.failures == 1 {
             self.failures = 0;
         }
     }
 
     /// A task failed or stalled there.
-    pub fn failed(&mut self, now_ms: u64) {
+    pub fn record_failure(&mut self, now_ms: u64) {
         let pause_ms = PROBATION_MS << self.failures.min(8);
         self.failures += 1;
         self.paused_until_ms = now_ms + pause_ms.min(PROBATION_MAX_MS);
--- a/crates/core/tests/dispatch_admission.rs
+++ b/crates/core/tests/dispatch_admission.rs
@@ -38,7 +38,7 @@
     let clock_ms = SimWorker::new("w", 50_000, 0).clock_ms(now_ms);
     let out = answer_start(owner, now_ms - 1, order, OrderOutcome::Done { clock_ms });
     let mut end = done(number, order);
-    end.how = how;
+    end.outcome = how;
     let hold = &holds(&out)[0];
     answer_hold(owner, now_ms, hold, held(vec![], vec![end]))
 }
--- a/crates/core/tests/dispatch_closure.rs
+++ b/crates/core/tests/dispatch_closure.rs
@@ -82,7 +82,7 @@
         free_millicores: 10_000,
         backlog_millicore_ms: 0,
     };
-    entry.pool_seen(0, &claim, load, out);
+    entry.update_pool(0, &claim, load, out);
 }
 
 #[test]
@@ -112,7 +112,7 @@
         matches!(answers[..], [Answer::NotRun { .. }]),
         "{answers:?}"
     );
-    assert!(entry.is_served(), "it answers, so that callers may come");
+    assert!(entry.is_ready(), "it answers, so that callers may come");
 }
 
 #[test]
@@ -126,7 +126,7 @@
     entry.submit(0, 1, job("a", 1, 100), 1000, &mut out);
     entry.tick(0, &mut out);
     assert!(out.is_empty(), "it waits: {out:?}");
-    assert!(!entry.is_served(), "others may have an owner");
+    assert!(!entry.is_ready(), "others may have an owner");
     seen(&mut entry, "bergen/0", false, &mut out);
     let to_bergen = |command: &EntryCommand| matches!(command, EntryCommand::Delegate { to, .. } if to.pool == "bergen/0");
     assert!(out.iter().any(to_bergen), "{out:?}");
@@ -177,7 +177,7 @@
             free_millicores: 10_000,
             ..Load::default()
         };
-        entry.pool_seen(2, &claim, load, out);
+        entry.update_pool(2, &claim, load, out);
     };
     claim_of(&mut entry, false, &mut out);
     entry.submit(1, 1, job("a", 1, 100), 1000, &mut out);
--- a/crates/core/tests/dispatch_crashes.rs
+++ b/crates/core/tests/dispatch_crashes.rs
@@ -77,15 +77,15 @@
     fn take(&mut self, commands: Vec<Command>) {
         for start in starts(&commands) {
             self.started.push((self.now_ms, start.clone()));
-            let answer_ms = start.answer_ms;
+            let answer_ms = start.answer_timeout_ms;
             self.send(Order::Start(start), answer_ms);
         }
         for stop in stops(&commands) {
-            let answer_ms = stop.answer_ms;
+            let answer_ms = stop.answer_timeout_ms;
             self.send(Order::Stop(stop), answer_ms);
         }
         for hold in holds(&commands) {
-            let answer_ms = hold.wait_ms + hold.answer_ms;
+            let answer_ms = hold.wait_ms + hold.answer_timeout_ms;
             self.send(Order::Hold(hold), answer_ms);
         }
         for command in commands {
--- a/crates/core/tests/dispatch_entry.rs
+++ b/crates/core/tests/dispatch_entry.rs
@@ -54,7 +54,7 @@
 
 fn seen(entry: &mut Entry, now_ms: u64, pool: &str, owner: &str, backlog: u64) -> Vec<Command> {
     let mut out = Vec::new();
-    entry.pool_seen(now_ms, &claim(pool, owner), load(backlog), &mut out);
+    entry.update_pool(now_ms, &claim(pool, owner), load(backlog), &mut out);
     out
 }
 
@@ -65,7 +65,7 @@
         free_millicores: 1_000_000,
         ..load(0)
     };
-    entry.pool_seen(now_ms, &claim(pool, owner), wide, &mut Vec::new());
+    entry.update_pool(now_ms, &claim(pool, owner), wide, &mut Vec::new());
 }
 
 fn submit(entry: &mut Entry, now_ms: u64, ticket: u64, id: &str) -> Vec<Command> {
@@ -92,7 +92,10 @@
 
 fn answers(commands: &[Command]) -> Vec<(u64, Answer)> {
     let answers = commands.iter().filter_map(|command| match command {
-        Command::Answer { ticket, answer } => Some((*ticket, *answer)),
+        Command::Answer {
+            request_id: ticket,
+            answer,
+        } => Some((*ticket, *answer)),
         _ => None,
     });
     answers.collect()
@@ -153,7 +156,7 @@
         seen(&mut entry, 0, "forde/0", "a", 0);
         submit(&mut entry, 1, 1, "x");
         let mut out = Vec::new();
-        entry.ended(2, &owned("forde/0", "a"), &ending("x", outcome), &mut out);
+        entry.on_job_ended(2, &owned("forde/0", "a"), &ending("x", outcome), &mut out);
         entry.owner_lost(3, "a", &mut out);
         entry.tick(3 + PLACEMENT_TIMEOUT_MS, &mut out);
         let (_, answer) = answers(&out)[0];
@@ -172,9 +175,9 @@
         "the same job once"
     );
     let mut out = Vec::new();
-    entry.caller_left(1, &mut out);
+    entry.on_caller_disconnected(1, &mut out);
     assert!(out.is_empty(), "somebody still waits");
-    entry.caller_left(2, &mut out);
+    entry.on_caller_disconnected(2, &mut out);
     assert!(matches!(out[0], Command::Cancel { .. }));
     assert!(entry.is_empty());
 }
@@ -196,10 +199,10 @@
     submit(&mut entry, 1, 1, "x");
     let mut out = Vec::new();
     let other = owned("forde/0", "b");
-    entry.ended(2, &other, &ending("x", Outcome::Completed), &mut out);
+    entry.on_job_ended(2, &other, &ending("x", Outcome::Completed), &mut out);
     assert!(out.is_empty());
     let owner = owned("forde/0", "a");
-    entry.ended(3, &owner, &ending("x", Outcome::Completed), &mut out);
+    entry.on_job_ended(3, &owner, &ending("x", Outcome::Completed), &mut out);
     assert_eq!(answers(&out), [(1, Answer::Completed)]);
 }
 
@@ -209,7 +212,7 @@
         retry_after_ms: 2500,
         ..ending(id, Outcome::NotRun)
     };
-    entry.ended(now_ms, &owned(pool, owner), &ending, &mut out);
+    entry.on_job_ended(now_ms, &owned(pool, owner), &ending, &mut out);
     out
 }
 
@@ -232,7 +235,7 @@
 #[test]
 fn a_refused_job_waits_a_little_for_a_pool_that_has_no_owner() {
     let mut entry = Entry::new("forde");
-    entry.set_home_pools(vec!["forde/0".to_owned(), "forde/1".to_owned()]);
+    entry.set_local_pools(vec!["forde/0".to_owned(), "forde/1".to_owned()]);
     seen(&mut entry, 0, "forde/0", "a", 0);
     for id in ["x", "y"] {
         submit(&mut entry, 1, u64::from(id == "y"), id);
@@ -290,7 +293,7 @@
 fn an_entry_that_stood_still_takes_no_owner_for_silent() {
     let mut entry = Entry::new("forde");
     seen(&mut entry, 0, "forde/0", "a", 0);
-    entry.extend_silence_limits(LINK_TIMEOUT_MS);
+    entry.extend_liveness_timeouts(LINK_TIMEOUT_MS);
     seen(&mut entry, LINK_TIMEOUT_MS, "bergen/0", "b", 0);
     let out = submit(&mut entry, LINK_TIMEOUT_MS, 1, "j");
     assert!(matches!(&out[..], [Command::Delegate { to, .. }] if to.owner == "a"));
--- a/crates/core/tests/dispatch_history/world.rs
+++ b/crates/core/tests/dispatch_history/world.rs
@@ -89,9 +89,9 @@
         };
         if fate.is_none_or(|(_, answered)| !answered) {
             let answer_ms = match &order {
-                Order::Hold(hold) => hold.wait_ms + hold.answer_ms,
-                Order::Start(start) => start.answer_ms,
-                Order::Stop(stop) => stop.answer_ms,
+                Order::Hold(hold) => hold.wait_ms + hold.answer_timeout_ms,
+                Order::Start(start) => start.answer_timeout_ms,
+                Order::Stop(stop) => stop.answer_timeout_ms,
             };
             let event = unanswered(owner, order.clone());
             self.at(self.now_ms + answer_ms, event);
--- a/crates/core/tests/dispatch_neighbours.rs
+++ b/crates/core/tests/dispatch_neighbours.rs
@@ -49,7 +49,7 @@
             claim: claim.clone(),
             roster: None,
         };
-        ownership.stored_claim(0, record, 1, &mut Vec::new());
+        ownership.learn_stored_claim(0, record, 1, &mut Vec::new());
     }
     ownership
 }
@@ -63,7 +63,7 @@
     let mut ownership = instance(7, 36, &[]);
     ownership.set_members(700, (0..36).map(node).collect());
     assert_eq!(ownership.desired_peers().len(), 35);
-    assert!(ownership.is_settled());
+    assert!(ownership.is_linked_to_owners());
 }
 
 #[test]
@@ -90,14 +90,14 @@
 #[test]
 fn an_instance_is_settled_once_it_is_linked_with_the_owners_that_it_wants() {
     let mut ownership = instance(200, 300, &claims());
-    assert!(!ownership.is_settled());
+    assert!(!ownership.is_linked_to_owners());
     let wanted: Vec<Node> = ownership.desired_peers().into_iter().cloned().collect();
     for node in &wanted {
-        ownership.linked(10, node);
+        ownership.on_link_up(10, node);
     }
-    assert!(ownership.is_settled());
-    ownership.unlinked(20, &wanted[0].name);
-    assert!(!ownership.is_settled());
+    assert!(ownership.is_linked_to_owners());
+    ownership.on_link_down(20, &wanted[0].name);
+    assert!(!ownership.is_linked_to_owners());
 }
 
 /// Pools that an instance claims within four seconds, each claim refused.
@@ -132,7 +132,7 @@
     let candidates = (200..count).step_by(DOMAINS.len());
     let mut bystanders = candidates.map(|me| (me, instance(me, count, &claims())));
     let is_bystander =
-        |(_, ownership): &(usize, Ownership)| !ownership.home_pools().contains(&orphan);
+        |(_, ownership): &(usize, Ownership)| !ownership.local_pools().contains(&orphan);
     bystanders.find(is_bystander).expect("most watch others")
 }
 
@@ -235,7 +235,7 @@
         let mut ownership = Ownership::new(0, weighted(me));
         ownership.set_pool_count("forde", POOLS);
         ownership.set_members(0, (0..count).map(weighted).collect());
-        let watched = ownership.home_pools();
+        let watched = ownership.local_pools();
         most = most.max(watched.len());
         for name in watched {
             *watchers.entry(name).or_default() += 1;
@@ -262,7 +262,7 @@
 #[test]
 fn few_instances_come_before_the_others_of_their_failure_domain() {
     // Only those count the workers at first, when everything starts together.
-    let ranks = (0..300).map(|me| instance(me, 300, &[]).listed_before());
+    let ranks = (0..300).map(|me| instance(me, 300, &[]).rank_in_domain());
     let first = ranks.filter(|rank| *rank < 2).count();
     assert_eq!(first, 2 * DOMAINS.len());
 }
--- a/crates/core/tests/dispatch_origin.rs
+++ b/crates/core/tests/dispatch_origin.rs
@@ -51,7 +51,7 @@
     owner.delegate(21, Origin::Link(8), job("a", 1, 100), 0, None, &mut out);
     assert!(starts(&out).is_empty());
     let mut end = done(1, &started[0]);
-    end.how = RunOutcome::Stopped;
+    end.outcome = RunOutcome::Stopped;
     let out = answer_hold(&mut owner, 30, &hold, held(vec![], vec![end]));
     assert_eq!(starts(&out).len(), 1);
 }
--- a/crates/core/tests/dispatch_owner.rs
+++ b/crates/core/tests/dispatch_owner.rs
@@ -80,7 +80,7 @@
     let sent_ms = 1000;
     let started = starts(&delegate(&mut owner, sent_ms, "a", 1));
     let dead = started[0].target.worker;
-    let mut unanswered = vec![(sent_ms + started[0].answer_ms, started[0].clone())];
+    let mut unanswered = vec![(sent_ms + started[0].answer_timeout_ms, started[0].clone())];
     let mut restarted_ms = None;
     let mut holds_open: Vec<(u64, RenewOrder)> = Vec::new();
     for now_ms in sent_ms..sent_ms + 2000 {
@@ -106,7 +106,7 @@
         }
         let holds = holds(&out).into_iter();
         let holds = holds.filter(|hold| hold.target.worker == dead);
-        holds_open.extend(holds.map(|hold| (now_ms + hold.wait_ms + hold.answer_ms, hold)));
+        holds_open.extend(holds.map(|hold| (now_ms + hold.wait_ms + hold.answer_timeout_ms, hold)));
         if let Some(again) = starts(&out).first() {
             assert_ne!(again.target.worker, dead);
             restarted_ms = Some(now_ms);
@@ -141,7 +141,7 @@
     let started = starts(&delegate(&mut earlier, 10, "a", 1));
     let mut owner = fenced_owner(2, &["w1"]);
     // The keys of both tables are the same; the fences are not.
-    let out = answer_start(&mut owner, 12, &started[0], OrderOutcome::OtherLife);
+    let out = answer_start(&mut owner, 12, &started[0], OrderOutcome::WrongIncarnation);
     assert!(out.is_empty());
     assert_eq!(owner.sizes().workers_fenced, 1);
 }
@@ -211,7 +211,7 @@
     let clock_ms = 50_010;
     let out = answer_start(&mut owner, 12, &started[0], OrderOutcome::Done { clock_ms });
     let mut end = done(1, &started[0]);
-    end.how = RunOutcome::Failed;
+    end.outcome = RunOutcome::Failed;
     let out = answer_hold(&mut owner, 20, &holds(&out)[0], held(vec![], vec![end]));
     let again = starts(&out);
     assert_eq!(again.len(), 1);
@@ -227,7 +227,7 @@
         let outcome = OrderOutcome::Done { clock_ms };
         let out = answer_start(&mut owner, 12 * attempt, &started[0], outcome);
         let mut end = done(1, &started[0]);
-        end.how = RunOutcome::Failed;
+        end.outcome = RunOutcome::Failed;
         let hold = &holds(&out)[0];
         let out = answer_hold(&mut owner, 12 * attempt + 5, hold, held(vec![], vec![end]));
         if attempt == 3 {
--- a/crates/core/tests/dispatch_ownership.rs
+++ b/crates/core/tests/dispatch_ownership.rs
@@ -87,11 +87,11 @@
     let (old, young) = (node("a", 1, 250), node("b", 2, 250));
     let strong = node("c", 0, 500);
     let mut first = instance(&young, std::slice::from_ref(&old));
-    first.linked(0, &old);
+    first.on_link_up(0, &old);
     assert_eq!(claims_at(&mut first, 0, 1000), Some(0));
     let mut second = instance(&old, &[young.clone(), strong.clone()]);
-    second.linked(0, &young);
-    second.linked(0, &strong);
+    second.on_link_up(0, &young);
+    second.on_link_up(0, &strong);
     assert_eq!(claims_at(&mut second, 0, 1000), Some(2 * CLAIM_STAGGER_MS));
 }
 
@@ -99,10 +99,10 @@
 fn an_owner_whose_link_breaks_is_followed_after_a_moment() {
     let (me, owner) = (node("a", 1, 250), node("b", 2, 250));
     let mut ownership = instance(&me, std::slice::from_ref(&owner));
-    ownership.linked(0, &owner);
-    ownership.stored_claim(0, record(claim(&owner, 1)), 5, &mut Vec::new());
+    ownership.on_link_up(0, &owner);
+    ownership.learn_stored_claim(0, record(claim(&owner, 1)), 5, &mut Vec::new());
     assert_eq!(claims_at(&mut ownership, 0, 2000), None);
-    ownership.unlinked(2000, "b");
+    ownership.on_link_down(2000, "b");
     let at_ms = claims_at(&mut ownership, 2000, 4000);
     assert_eq!(at_ms, Some(2000 + OWNER_LOST_TIMEOUT_MS));
 }
@@ -115,13 +115,13 @@
     let mut ownership = instance(&me, &[]);
     let began_ms = 5000;
     ownership.set_members(began_ms, vec![]);
-    ownership.stored_claim(began_ms, record(claim(&owner, 1)), 5, &mut Vec::new());
+    ownership.learn_stored_claim(began_ms, record(claim(&owner, 1)), 5, &mut Vec::new());
     assert_eq!(claims_at(&mut ownership, began_ms, began_ms + 600), None);
     assert!(
         ownership.peers().any(|peer| peer.name == "b"),
         "it is dialed"
     );
-    ownership.linked(began_ms + 600, &owner);
+    ownership.on_link_up(began_ms + 600, &owner);
     assert_eq!(claims_at(&mut ownership, began_ms + 600, 9000), None);
 }
 
@@ -133,7 +133,7 @@
     let mut ownership = instance(&me, std::slice::from_ref(&owner));
     let claimed_ms = 8000;
     let stored = record(claim(&owner, 1));
-    ownership.stored_claim(claimed_ms, stored, 5, &mut Vec::new());
+    ownership.learn_stored_claim(claimed_ms, stored, 5, &mut Vec::new());
     assert_eq!(
         claims_at(&mut ownership, claimed_ms, claimed_ms + 600),
         None
@@ -145,9 +145,9 @@
 fn a_link_that_was_closed_by_agreement_is_no_loss() {
     let (me, owner) = (node("a", 1, 250), node("b", 2, 250));
     let mut ownership = instance(&me, std::slice::from_ref(&owner));
-    ownership.linked(0, &owner);
-    ownership.link_retired(5000, "b");
-    ownership.stored_claim(6000, record(claim(&owner, 1)), 5, &mut Vec::new());
+    ownership.on_link_up(0, &owner);
+    ownership.on_link_closed(5000, "b");
+    ownership.learn_stored_claim(6000, record(claim(&owner, 1)), 5, &mut Vec::new());
     assert_eq!(claims_at(&mut ownership, 6000, 6600), None);
 }
 
@@ -155,7 +155,7 @@
 fn an_owner_that_has_started_anew_is_followed_at_once() {
     let (me, owner) = (node("a", 1, 250), node("b", 2, 250));
     let mut ownership = instance(&me, std::slice::from_ref(&owner));
-    ownership.stored_claim(0, record(claim(&owner, 1)), 5, &mut Vec::new());
+    ownership.learn_stored_claim(0, record(claim(&owner, 1)), 5, &mut Vec::new());
     ownership.set_members(100, vec![node("b", 3, 250)]);
     assert_eq!(claims_at(&mut ownership, 100, 2000), Some(100));
 }
@@ -164,9 +164,9 @@
 fn an_owner_that_is_leaving_is_followed_at_once() {
     let (me, owner) = (node("a", 1, 250), node("b", 2, 250));
     let mut ownership = instance(&me, std::slice::from_ref(&owner));
-    ownership.linked(0, &owner);
-    ownership.stored_claim(0, record(claim(&owner, 1)), 5, &mut Vec::new());
-    ownership.heard("b", true);
+    ownership.on_link_up(0, &owner);
+    ownership.learn_stored_claim(0, record(claim(&owner, 1)), 5, &mut Vec::new());
+    ownership.set_peer_leaving("b", true);
     assert_eq!(claims_at(&mut ownership, 10, 2000), Some(10));
 }
 
@@ -177,7 +177,7 @@
     for (linked, claims) in [(2, true), (0, false)] {
         let mut ownership = instance(&me, &others);
         for other in &others[..linked] {
-            ownership.linked(0, other);
+            ownership.on_link_up(0, other);
         }
         let out = tick(&mut ownership, 2000);
         let Command::WriteClaim { record, .. } = &out[0] else {
@@ -202,7 +202,7 @@
     let written = ClaimWriteOutcome::Written { revision: 7 };
     ownership.claim_written(2010, own, &written, &mut Vec::new());
     let mut out = Vec::new();
-    ownership.learn(2020, claim(&other, 2), false, &mut out);
+    ownership.learn_claim(2020, claim(&other, 2), false, &mut out);
     assert_eq!(out[0], Command::Released(POOL.to_owned()));
     assert!(!ownership.owns_any());
 }
@@ -270,7 +270,7 @@
     // The first write was carried out after all, and the second met it.
     ownership.claim_written(210, &again, &ClaimWriteOutcome::Conflict, &mut Vec::new());
     let mut out = Vec::new();
-    ownership.stored_claim(220, record, 8, &mut out);
+    ownership.learn_stored_claim(220, record, 8, &mut out);
     assert!(matches!(out[0], Command::RosterStored { .. }));
     assert_eq!(written(&tick(&mut ownership, 9000)), None);
 }
@@ -285,8 +285,8 @@
     };
     for by_store in [true, false] {
         let mut ownership = instance(&me, &[node("c", 0, 250)]);
-        ownership.linked(0, &node("c", 0, 250));
-        ownership.stored_claim(0, of_other.clone(), 5, &mut Vec::new());
+        ownership.on_link_up(0, &node("c", 0, 250));
+        ownership.learn_stored_claim(0, of_other.clone(), 5, &mut Vec::new());
         let out = tick(&mut ownership, 2000);
         let (own, _) = written(&out).expect("the owner was never linked");
         let answer = match by_store {
@@ -316,11 +316,11 @@
     let mut out = Vec::new();
     ownership.claim_written(2010, record, &ClaimWriteOutcome::NoAnswer, &mut out);
     assert!(tick(&mut ownership, 2020).is_empty(), "it reaches nobody");
-    ownership.stored_claim(2030, record.clone(), 9, &mut out);
+    ownership.learn_stored_claim(2030, record.clone(), 9, &mut out);
     assert!(out.contains(&acquired(&record.claim)));
     // After it was outranked, the same claim does not bring ownership back.
-    ownership.outranked(2040, POOL, &mut Vec::new());
+    ownership.on_superseded(2040, POOL, &mut Vec::new());
     let mut out = Vec::new();
-    ownership.stored_claim(2050, record.clone(), 9, &mut out);
+    ownership.learn_stored_claim(2050, record.clone(), 9, &mut out);
     assert!(out.is_empty());
 }
--- a/crates/core/tests/dispatch_support/mod.rs
+++ b/crates/core/tests/dispatch_support/mod.rs
@@ -144,7 +144,7 @@
             if run.ends_ms <= now_ms {
                 self.end(&run, RunOutcome::Done);
             } else if lapsed {
-                self.end(&run, RunOutcome::Lapsed);
+                self.end(&run, RunOutcome::LeaseExpired);
             } else {
                 self.runs.push(run);
             }
@@ -158,7 +158,7 @@
             number: self.ends,
             task: run.task.clone(),
             run_id: run.run_id,
-            how,
+            outcome: how,
         });
     }
 
@@ -229,8 +229,8 @@
         if let Some(deadline_ms) = order.deadline_ms {
             self.extend(now_ms, deadline_ms);
         }
-        self.ended.retain(|end| end.number > order.ends_upto);
-        RenewOutcome::Held {
+        self.ended.retain(|end| end.number > order.acked_completion);
+        RenewOutcome::Renewed {
             clock_ms: self.clock_ms(now_ms),
             running: self
                 .runs
@@ -240,7 +240,7 @@
                     run_id: run.run_id,
                 })
                 .collect(),
-            ended: self.ended.clone(),
+            completions: self.ended.clone(),
         }
     }
 }
--- a/crates/core/tests/dispatch_support/orders.rs
+++ b/crates/core/tests/dispatch_support/orders.rs
@@ -12,10 +12,10 @@
 pub const LINK: Origin = Origin::Link(7);
 
 pub fn held(running: Vec<ListedRun>, ended: Vec<RunCompletion>) -> RenewOutcome {
-    RenewOutcome::Held {
+    RenewOutcome::Renewed {
         clock_ms: 50_000,
         running,
-        ended,
+        completions: ended,
     }
 }
 
@@ -79,6 +79,6 @@
         number,
         task: order.task.clone(),
         run_id: order.run_id,
-        how: RunOutcome::Done,
+        outcome: RunOutcome::Done,
     }
 }
--- a/crates/instance/src/instance.rs
+++ b/crates/instance/src/instance.rs
@@ -58,10 +58,10 @@
 const TICK_MS: u64 = 25;
 /// A tick this much late is a stall of the process: peers have closed its links and
 /// its leases may have expired. Peers run its jobs anew only after
-/// [`LINK_SILENT_MS`] and [`DELEGATED_GAP_MS`] together.
+/// [`LINK_TIMEOUT_MS`] and [`REDELEGATION_DELAY_MS`] together.
 ///
-/// [`LINK_SILENT_MS`]: trefoil_core::dispatch::limits::LINK_SILENT_MS
-/// [`DELEGATED_GAP_MS`]: trefoil_core::dispatch::limits::DELEGATED_GAP_MS
+/// [`LINK_TIMEOUT_MS`]: trefoil_core::dispatch::limits::LINK_TIMEOUT_MS
+/// [`REDELEGATION_DELAY_MS`]: trefoil_core::dispatch::limits::REDELEGATION_DELAY_MS
 const STALL_MS: u64 = 900;
 
 /// The store is read often for so long for the successor of an owner that was
@@ -190,7 +190,7 @@
             // A busy process reads heartbeats late.
             let late_ms = now_ms.saturating_sub(state.ticked_ms + TICK_MS);
             state.peers.extend_silence_limits(late_ms);
-            state.entry.extend_silence_limits(late_ms);
+            state.entry.extend_liveness_timeouts(late_ms);
             state.ticked_ms = now_ms;
         });
         if self
@@ -213,7 +213,7 @@
             return;
         }
         warn!(self.log, "process stalled"; "late_ms" => late_ms);
-        state.ownership.stalled(now_ms, &mut effects.ownership);
+        state.ownership.release_all(now_ms, &mut effects.ownership);
         self.drop_links(state, now_ms, effects);
         // What was read of the store is as old.
         state.store_read_ms = None;
@@ -261,7 +261,7 @@
     /// Whether callers' requests can be served here.
     pub fn is_ready(&self) -> bool {
         let state = self.state.borrow();
-        !state.leaving && state.declared.table().is_some() && state.entry.is_served()
+        !state.leaving && state.declared.table().is_some() && state.entry.is_ready()
     }
 
     /// Whether a planned stop is under way.
@@ -278,7 +278,7 @@
     /// domain.
     pub fn may_lay_out(&self) -> bool {
         let state = self.state.borrow();
-        let pairs_before = state.ownership.listed_before() as u64 / 2;
+        let pairs_before = state.ownership.rank_in_domain() as u64 / 2;
         let turn_ms = POOL_CREATION_DELAY_MS + pairs_before * POOL_CREATION_STAGGER_MS;
         state.pool_count == 0 && self.now_ms() >= turn_ms
     }
@@ -295,15 +295,17 @@
             let count = deployment.pool_counts.get(&self.me.failure_domain);
             state.pool_count = count.copied().unwrap_or(state.pool_count);
             state.ownership.set_members(now_ms, deployment.nodes);
-            state.entry.set_home_pools(state.ownership.home_pools());
+            state.entry.set_local_pools(state.ownership.local_pools());
             let failure_domains = deployment.pool_counts.into_keys();
             state.entry.set_failure_domains(failure_domains);
             for (pool, revision) in deployment.unreadable_claims {
-                state.ownership.unreadable_claim(&pool, revision);
+                state.ownership.learn_unreadable_record(&pool, revision);
             }
             for (record, revision) in deployment.claims {
                 let out = &mut effects.ownership;
-                state.ownership.stored_claim(now_ms, record, revision, out);
+                state
+                    .ownership
+                    .learn_stored_claim(now_ms, record, revision, out);
             }
         });
     }
@@ -321,7 +323,7 @@
     /// have none.
     pub fn is_unsettled(&self) -> bool {
         let mut state = self.state.borrow_mut();
-        if state.ownership.is_settled() {
+        if state.ownership.is_linked_to_owners() {
             state.unsettled_since_ms = None;
             return false;
         }
@@ -403,7 +405,9 @@
     fn drop(&mut self) {
         self.instance.change(|state, _, effects| {
             state.waiters.remove(&self.ticket);
-            state.entry.caller_left(self.ticket, &mut effects.entry);
+            state
+                .entry
+                .on_caller_disconnected(self.ticket, &mut effects.entry);
         });
     }
 }
--- a/crates/instance/src/instance/effects.rs
+++ b/crates/instance/src/instance/effects.rs
@@ -44,7 +44,10 @@
         let mut effects = Effects::default();
         let now_ms = self.now_ms();
         match command {
-            entry::Command::Answer { ticket, answer } => {
+            entry::Command::Answer {
+                request_id: ticket,
+                answer,
+            } => {
                 let waiter = self.state.borrow_mut().waiters.remove(&ticket);
                 if let Some(waiter) = waiter {
                     // A caller that has just left needs no answer.
@@ -121,7 +124,7 @@
                         let from = PoolOwner { pool, owner };
                         let out = &mut effects.entry;
                         let mut state = self.state.borrow_mut();
-                        state.entry.ended(self.now_ms(), &from, &ending, out);
+                        state.entry.on_job_ended(self.now_ms(), &from, &ending, out);
                     }
                     Origin::Link(link) => self.send_ended(link, pool, ending, reason),
                 }
@@ -129,7 +132,7 @@
             owner::Command::Outranked => {
                 let mut state = self.state.borrow_mut();
                 let out = &mut effects.ownership;
-                state.ownership.outranked(self.now_ms(), &pool, out);
+                state.ownership.on_superseded(self.now_ms(), &pool, out);
                 self.store_poke.notify_waiters();
             }
             owner::Command::Note(note) => self.write_note(&pool, note),
@@ -171,7 +174,7 @@
                 });
             }
             ownership::Command::Released(pool) => self.released(pool, &mut effects),
-            ownership::Command::Learned(claim) => {
+            ownership::Command::OwnerChanged(claim) => {
                 let owner = claim.owner.as_ref().map_or("", |node| node.name.as_str());
                 info!(self.log, "owner changed"; "pool" => &claim.pool,
                     "term" => claim.term, "owner" => owner);
--- a/crates/instance/src/instance/frames.rs
+++ b/crates/instance/src/instance/frames.rs
@@ -49,7 +49,7 @@
                     let pool = ended.pool;
                     let from = PoolOwner { pool, owner: name };
                     let out = &mut effects.entry;
-                    state.entry.ended(now_ms, &from, &ending, out);
+                    state.entry.on_job_ended(now_ms, &from, &ending, out);
                 }
                 Body::ConfigRequest(request) => {
                     self.send_declarations(state, id, request.revision);
@@ -110,8 +110,8 @@
                 owner.origin_alive(Origin::Link(id), beat.echo_ms);
             }
         }
-        state.ownership.heard(&name, beat.leaving);
-        let mut known = state.entry.pools_of(&name);
+        state.ownership.set_peer_leaving(&name, beat.leaving);
+        let mut known = state.entry.pools_owned_by(&name);
         for owned in beat.owned {
             known.retain(|known| {
                 owned
@@ -147,10 +147,12 @@
         // Jobs go only to owners with a link that is not being drained.
         if owner == self.me.name || state.peers.link_to(owner).is_some() {
             let out = &mut effects.entry;
-            state.entry.pool_seen(now_ms, &claim, load, out);
+            state.entry.update_pool(now_ms, &claim, load, out);
         }
         let out = &mut effects.ownership;
-        state.ownership.learn(now_ms, claim, owned.yielded, out);
+        state
+            .ownership
+            .learn_claim(now_ms, claim, owned.yielded, out);
     }
 
     /// A peer has newer declarations: the store is read, and if that does not
--- a/crates/instance/src/instance/peers.rs
+++ b/crates/instance/src/instance/peers.rs
@@ -143,7 +143,7 @@
         };
         let hello = Body::Hello(Hello {
             node: Some(self.me.clone()),
-            known: self.state.borrow().ownership.introductions(),
+            known: self.state.borrow().ownership.known_nodes(),
         });
         opened.sender.send(encode(hello));
         let mut reader = opened.reader;
@@ -187,7 +187,7 @@
         info!(self.log, "link up"; "peer" => &node.name, "incarnation" => node.incarnation,
             "side" => ?side);
         self.change(|state, now_ms, _| {
-            state.ownership.linked(now_ms, &node);
+            state.ownership.on_link_up(now_ms, &node);
             let link = Link {
                 peer: node,
                 retirement: Retirement::new(now_ms, side),
@@ -250,12 +250,12 @@
         let is_last = state.peers.links_to(&name).next().is_none();
         if end == LinkEnd::Retired {
             if is_last {
-                state.ownership.link_retired(now_ms, &name);
+                state.ownership.on_link_closed(now_ms, &name);
             }
             return;
         }
         if is_last {
-            state.ownership.unlinked(now_ms, &name);
+            state.ownership.on_link_down(now_ms, &name);
             if *name < *self.me.name {
                 // It dials first.
                 state.peers.dialed_ms.insert(name.clone(), now_ms);
@@ -283,7 +283,7 @@
         let State {
             ownership, peers, ..
         } = &mut *state;
-        let is_mesh = ownership.is_mesh();
+        let is_mesh = ownership.is_full_mesh();
         for node in ownership.desired_peers() {
             let name = node.name.as_str();
             let dialed_ms = peers.dialed_ms.get(name);
--- a/crates/instance/src/instance/retire.rs
+++ b/crates/instance/src/instance/retire.rs
@@ -15,7 +15,7 @@
     /// Drains links to peers that are no longer desired, and closes those that
     /// neither side needs.
     pub(super) fn retire_links(&self, state: &mut State, now_ms: u64, effects: &mut Effects) {
-        if state.ownership.is_mesh() {
+        if state.ownership.is_full_mesh() {
             return;
         }
         state.drain_undesired(now_ms);
@@ -51,7 +51,7 @@
         let links = peers.links.values();
         for link in links.filter(|link| link.retirement.is_draining()) {
             if peers.link_to(&link.peer.name).is_none() {
-                entry.stop_using(&link.peer.name);
+                entry.stop_delegating_to(&link.peer.name);
             }
         }
     }
--- a/crates/instance/src/instance/stop.rs
+++ b/crates/instance/src/instance/stop.rs
@@ -41,7 +41,7 @@
         });
         let ending = self.drained(since_ms).await;
         self.change(|state, now_ms, effects| {
-            state.entry.close(&mut effects.entry);
+            state.entry.shut_down(&mut effects.entry);
             state.each_owner(effects, |owner, out| owner.release(now_ms, out));
         });
         // Lets the last answers reach their connections.
--- a/crates/replay/examples/owner_rate.rs
+++ b/crates/replay/examples/owner_rate.rs
@@ -87,10 +87,10 @@
     owner.set_workers(0, records.collect(), &mut out);
     for command in out {
         if let Command::Hold(order) = command {
-            let held = RenewOutcome::Held {
+            let held = RenewOutcome::Renewed {
                 clock_ms: 1,
                 running: Vec::new(),
-                ended: Vec::new(),
+                completions: Vec::new(),
             };
             let (worker, fence) = (order.target.worker, order.target.fence);
             let number = order.number;
--- a/crates/replay/src/worker.rs
+++ b/crates/replay/src/worker.rs
@@ -75,7 +75,7 @@
             number: self.ends,
             task: task.clone(),
             run_id,
-            how,
+            outcome: how,
         });
         true
     }
@@ -83,7 +83,7 @@
     /// Takes in a hold's fence and acknowledgement.
     pub fn take_hold(&mut self, order: &RenewOrder) {
         self.fence = self.fence.max(order.target.fence);
-        self.ended.retain(|end| end.number > order.ends_upto);
+        self.ended.retain(|end| end.number > order.acked_completion);
     }
 
     /// Whether a hold has nothing to tell yet.
@@ -93,10 +93,10 @@
 
     /// What a hold is answered; the worker's clock is the true one.
     pub fn listing(&self, now_ms: u64) -> RenewOutcome {
-        RenewOutcome::Held {
+        RenewOutcome::Renewed {
             clock_ms: now_ms,
             running: self.runs.clone(),
-            ended: self.ended.iter().cloned().collect(),
+            completions: self.ended.iter().cloned().collect(),
         }
     }
 }
--- a/crates/replay/src/world.rs
+++ b/crates/replay/src/world.rs
@@ -251,7 +251,7 @@
             Event::CallerLeaves(visit) => {
                 let entry = self.entry_of(visit.job);
                 self.with_entry(entry, |entry, _, out| {
-                    entry.caller_left(visit.ticket(), out);
+                    entry.on_caller_disconnected(visit.ticket(), out);
                 });
             }
             Event::Delegate {
@@ -277,7 +277,7 @@
             } => {
                 let from = self.owned(pool);
                 self.with_entry(entry, |entry, now_ms, out| {
-                    entry.ended(now_ms, &from, &ending, out);
+                    entry.on_job_ended(now_ms, &from, &ending, out);
                 });
             }
             Event::Start { pool, order } => self.start(pool, order),
@@ -400,7 +400,10 @@
                 );
             }
             entry::Command::Revoked { .. } => {}
-            entry::Command::Answer { ticket, answer } => {
+            entry::Command::Answer {
+                request_id: ticket,
+                answer,
+            } => {
                 let at_ms = self.now_ms - START_MS;
                 let seen = match answer {
                     Answer::Completed => Seen::Completed { at_ms },
@@ -468,7 +471,7 @@
             let claim = self.claim(pool);
             for entry in 0..self.entries.len() {
                 self.with_entry(entry, |entry, now_ms, out| {
-                    entry.pool_seen(now_ms, &claim, load, out);
+                    entry.update_pool(now_ms, &claim, load, out);
                 });
             }
         }
--- a/crates/replay/src/world/orders.rs
+++ b/crates/replay/src/world/orders.rs
@@ -20,7 +20,10 @@
         if self.is_unanswered(self.orders) {
             // It is carried out late, under an outranked fence: never.
             let answered = answered_start(&order, OrderOutcome::NoAnswer);
-            return self.after(order.answer_ms, Event::StartAnswer { pool, answered });
+            return self.after(
+                order.answer_timeout_ms,
+                Event::StartAnswer { pool, answered },
+            );
         }
         let outcome = match self.workers[worker].up && self.workers[worker].start(&order) {
             true => {
@@ -105,7 +108,7 @@
             outcome,
         };
         let late_ms = match answer_is_missing(&answer) {
-            true => order.wait_ms + order.answer_ms,
+            true => order.wait_ms + order.answer_timeout_ms,
             false => PATH_MS,
         };
         self.after(late_ms, answer);
