--- a/crates/core/src/dispatch/owner.rs
+++ b/crates/core/src/dispatch/owner.rs
@@ -56,12 +56,16 @@
 
 use super::fence::Fence;
 use super::job::{Job, Origin, Task, TaskState};
-use super::limits::{ADOPT_MS, LINK_SILENT_MS, REMEMBER_MS, RESUME_MS, RETRY_MS};
+use super::limits::{
+    ADOPTION_GRACE_MS, ENDED_JOB_RETENTION_MS, LINK_TIMEOUT_MS, ORIGIN_RECONNECT_GRACE_MS,
+    RETRY_BACKOFF_MAX_MS,
+};
 use super::order::{
-    EndKind, HoldOrder, JobKey, OrderOutcome, Rejection, StartOrder, StopOrder, Target, WorkerKey,
+    JobKey, OrderOutcome, Rejection, RenewOrder, RunOutcome, StartOrder, StopOrder, Target,
+    WorkerKey,
 };
 use super::ownership::{Predecessor, Roster};
-use super::worker::{RunOwner, RunState, Standing, Worker, WorkerRecord};
+use super::worker::{FencingState, RunOwner, RunState, Worker, WorkerRecord};
 pub use command::{Command, JobResult, OrderResult};
 pub use log_event::{LogEvent, LogTopic};
 pub use settings::Settings;
@@ -87,7 +91,7 @@
     run_times: run_times::RunTimes,
     answer_times: answer_timeout::AnswerTimes,
     /// Ends of tasks that no job here has claimed, with their instants.
-    orphan_ends: HashMap<Arc<str>, (EndKind, u64)>,
+    orphan_ends: HashMap<Arc<str>, (RunOutcome, u64)>,
     losses: poison_tasks::Losses,
     /// Jobs that ended lately.
     ended: VecDeque<(u64, String, Outcome)>,
@@ -166,8 +170,8 @@
             self.set_worker(record, out);
         }
         for (key, worker) in &mut self.workers {
-            if worker.unlisted_ms.is_none() && !listed.contains(&worker.record.id) {
-                worker.unlisted_ms = Some(now_ms);
+            if worker.unlisted_since_ms.is_none() && !listed.contains(&worker.record.id) {
+                worker.unlisted_since_ms = Some(now_ms);
                 self.dirty.insert(key);
                 out.push(Command::Log(LogEvent::worker("unlisted", worker)));
             }
@@ -186,13 +190,13 @@
                 note.detail = format!("{:?} to {:?}", worker.record.capacity, record.capacity);
                 out.push(Command::Log(note));
             }
-            worker.unlisted_ms = None;
+            worker.unlisted_since_ms = None;
             worker.record = record;
             return;
         }
         let id = record.id.clone();
         let mut worker = Worker::new(record, self.fence);
-        worker.announced = self.may_use(&id);
+        worker.in_stored_roster = self.may_use(&id);
         out.push(Command::Log(LogEvent::worker("listed", &worker)));
         let key = self.workers.insert(worker);
         self.worker_ids.insert(id, key);
@@ -239,7 +243,7 @@
         self.run_times.refine(&mut spec);
         let mut job = Job::new(spec, origin, now_ms);
         job.unsafe_until_ms = now_ms + unsafe_for_ms;
-        job.cleared_by = self.clearance.of(unsafe_holder);
+        job.start_barrier = self.clearance.of(unsafe_holder);
         let key = self.jobs.insert(job);
         self.job_ids.insert(id, key);
         self.adopt(key);
@@ -247,7 +251,7 @@
         if self.jobs[key].is_done() {
             self.finish(now_ms, key, Outcome::Completed, "its tasks were done", out);
         }
-        let work = self.jobs.get(key).map_or(0, Job::waiting_work);
+        let work = self.jobs.get(key).map_or(0, Job::waiting_millicore_ms);
         self.send_away(now_ms, out);
         self.settle(now_ms, out);
         self.judge_new(now_ms, key, work, out);
@@ -283,12 +287,12 @@
         self.refuse_hopeless(now_ms, out);
         self.settle(now_ms, out);
         self.judge_all(now_ms, out);
-        let old = |at_ms: u64| at_ms + REMEMBER_MS < now_ms;
+        let old = |at_ms: u64| at_ms + ENDED_JOB_RETENTION_MS < now_ms;
         while self.ended.front().is_some_and(|ended| old(ended.0)) {
             self.ended.pop_front();
         }
         self.orphan_ends
-            .retain(|_, end| end.1 + 4 * ADOPT_MS > now_ms);
+            .retain(|_, end| end.1 + 4 * ADOPTION_GRACE_MS > now_ms);
     }
 
     /// Refuses jobs of which nothing has run and that are of no use any more,
@@ -297,7 +301,7 @@
         let fenced = self.all_fenced();
         let hopeless = |job: &Job| {
             let safe = job.is_safe(now_ms, fenced);
-            safe && !job.started && !job.stopping && job.is_hopeless(now_ms)
+            safe && !job.started && !job.stopping && job.is_expired(now_ms)
         };
         let keys: Vec<JobKey> = self
             .jobs
@@ -344,6 +348,6 @@
         target,
         task: run.task.clone(),
         run_id: run.run_id,
-        answer_ms,
+        answer_timeout_ms: answer_ms,
     }));
 }
--- a/crates/instance/src/instance/effects.rs
+++ b/crates/instance/src/instance/effects.rs
@@ -5,7 +5,7 @@
 
 use std::collections::VecDeque;
 
-use trefoil_core::dispatch::entry::Cause;
+use trefoil_core::dispatch::entry::RevocationCause;
 use trefoil_core::dispatch::owner::{LogEvent, LogTopic};
 use trefoil_core::dispatch::ownership::{Predecessor, Roster, holder_of};
 
@@ -44,7 +44,10 @@
         let mut effects = Effects::default();
         let now_ms = self.now_ms();
         match command {
-            entry::Command::Answer { ticket, answer } => {
+            entry::Command::Answer {
+                request_id: ticket,
+                answer,
+            } => {
                 let waiter = self.state.borrow_mut().waiters.remove(&ticket);
                 if let Some(waiter) = waiter {
                     // A caller that has just left needs no answer.
@@ -74,7 +77,9 @@
                 let mut state = self.state.borrow_mut();
                 if !state.delegate(Origin::Local, delegate, now_ms, &mut effects) {
                     let out = &mut effects.entry;
-                    state.entry.pool_lost(now_ms, &to, Cause::OwnerChanged, out);
+                    state
+                        .entry
+                        .pool_lost(now_ms, &to, RevocationCause::OwnerChanged, out);
                 }
             }
             entry::Command::Revoked {
@@ -116,10 +121,10 @@
                 match origin {
                     Origin::Local => {
                         let owner = self.me.name.clone();
-                        let from = Owned { pool, owner };
+                        let from = PoolOwner { pool, owner };
                         let out = &mut effects.entry;
                         let mut state = self.state.borrow_mut();
-                        state.entry.ended(self.now_ms(), &from, &result, out);
+                        state.entry.on_job_ended(self.now_ms(), &from, &result, out);
                     }
                     Origin::Link(link) => self.send_ended(link, pool, result, reason),
                 }
@@ -127,7 +132,7 @@
             owner::Command::Superseded => {
                 let mut state = self.state.borrow_mut();
                 let out = &mut effects.ownership;
-                state.ownership.outranked(self.now_ms(), &pool, out);
+                state.ownership.on_superseded(self.now_ms(), &pool, out);
                 self.store_poke.notify_waiters();
             }
             owner::Command::Log(note) => self.write_note(&pool, note),
@@ -169,7 +174,7 @@
                 });
             }
             ownership::Command::Released(pool) => self.released(pool, &mut effects),
-            ownership::Command::Learned(claim) => {
+            ownership::Command::OwnerChanged(claim) => {
                 let owner = claim.owner.as_ref().map_or("", |node| node.name.as_str());
                 info!(self.log, "owner changed"; "pool" => &claim.pool,
                     "term" => claim.term, "owner" => owner);
@@ -216,11 +221,11 @@
             state.worker_records.clear();
         }
         let owner = self.me.name.clone();
-        let owned = Owned { pool, owner };
+        let owned = PoolOwner { pool, owner };
         let out = &mut effects.entry;
         state
             .entry
-            .pool_lost(now_ms, &owned, Cause::OwnerChanged, out);
+            .pool_lost(now_ms, &owned, RevocationCause::OwnerChanged, out);
         drop(state);
         self.store_poke.notify_waiters();
         self.beat();
