--- a/crates/instance/src/declarations.rs
+++ b/crates/instance/src/declarations.rs
@@ -26,9 +26,9 @@
 
 /// What one reading of the store says of the declarations.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct DeclarationsRead {
+pub struct DeclarationsUpdate {
     /// Revision of the store that the reading is no older than.
-    pub confirmed_at: u64,
+    pub confirmed_revision: u64,
     /// The declarations, unless they were told before; none either while the
     /// operator has written none.
     pub changed: Option<Declarations>,
@@ -102,7 +102,7 @@
     }
 
     /// The route with the longest prefix that a request matches.
-    pub fn route(&self, host: &str, path: &str) -> Option<&Route> {
+    pub fn find_route(&self, host: &str, path: &str) -> Option<&Route> {
         let routes = self.by_host.get(&host.to_ascii_lowercase())?;
         let routes = routes.iter().map(|&index| &self.declarations.routes[index]);
         let matching = routes.filter(|route| path.starts_with(&route.path_prefix));
--- a/crates/instance/src/instance.rs
+++ b/crates/instance/src/instance.rs
@@ -44,13 +44,13 @@
 use trefoil_schema::dispatch::{Claim, Delegate, Job as JobSpec, Node, Outcome};
 
 use crate::clock::Clock;
-use crate::edge::{Deployment, Store, Workers};
-use crate::log::{ON_WORK, unix_ms};
+use crate::log::{WORK_TAG, unix_ms};
 use crate::metrics::Metrics;
+use crate::platform::{DeploymentState, Store, WorkerClient};
 use crate::settings::InstanceSettings;
 use effects::Effects;
 use peers::Peers;
-pub use stop::Ending;
+pub use stop::ShutdownOutcome;
 
 /// Period of the instance's ticks: retries and lapses are decided this often.
 const TICK_MS: u64 = 25;
@@ -111,7 +111,7 @@
     home: String,
 }
 
-impl<E: Store + Workers + 'static> Instance<E> {
+impl<E: Store + WorkerClient + 'static> Instance<E> {
     /// An instance that knows nothing yet.
     pub fn new(settings: InstanceSettings, log: Logger, metrics: Metrics, edge: E) -> Rc<Self> {
         Self::with_clock(settings, log, metrics, edge, Clock::start())
@@ -263,7 +263,7 @@
     }
 
     /// Whether it owns any pool.
-    pub fn owns(&self) -> bool {
+    pub fn owns_pools(&self) -> bool {
         !self.state.borrow().owners.is_empty()
     }
 
@@ -279,7 +279,7 @@
     /// Takes in the store's instances and claims.
     ///
     /// The reading began at `began_ms`.
-    pub fn deployment_read(self: &Rc<Self>, deployment: Deployment, began_ms: u64) {
+    pub fn deployment_read(self: &Rc<Self>, deployment: DeploymentState, began_ms: u64) {
         self.change(|state, now_ms, effects| {
             state.store_read_ms = Some(began_ms);
             for (failure_domain, &count) in &deployment.pool_counts {
@@ -387,12 +387,12 @@
 }
 
 /// Tells the entry when its caller's request is over.
-struct TicketGuard<E: Store + Workers + 'static> {
+struct TicketGuard<E: Store + WorkerClient + 'static> {
     instance: Rc<Instance<E>>,
     ticket: Ticket,
 }
 
-impl<E: Store + Workers + 'static> Drop for TicketGuard<E> {
+impl<E: Store + WorkerClient + 'static> Drop for TicketGuard<E> {
     fn drop(&mut self) {
         self.instance.change(|state, _, effects| {
             state.waiters.remove(&self.ticket);
--- a/crates/instance/src/instance/beats.rs
+++ b/crates/instance/src/instance/beats.rs
@@ -18,7 +18,7 @@
     }
 }
 
-impl<E: Store + Workers + 'static> Instance<E> {
+impl<E: Store + WorkerClient + 'static> Instance<E> {
     /// What this instance tells every peer now.
     pub(super) fn beat_now(&self, state: &State, now_ms: u64) -> Beat {
         let load_of = |pool: &str| state.owners.get(pool).map(|owner| owner.load(now_ms));
--- a/crates/instance/src/instance/calls.rs
+++ b/crates/instance/src/instance/calls.rs
@@ -9,9 +9,9 @@
 
 use super::*;
 
-impl<E: Store + Workers + 'static> Instance<E> {
+impl<E: Store + WorkerClient + 'static> Instance<E> {
     pub(super) fn send_start(self: &Rc<Self>, pool: String, order: StartOrder) {
-        info!(self.log, #ON_WORK, "start"; "task" => &*order.task, "run" => order.run_id,
+        info!(self.log, #WORK_TAG, "start"; "task" => &*order.task, "run" => order.run_id,
             "worker" => &*order.target.worker_id, "fence" => order.target.fence.token());
         self.metrics.starts.inc();
         let instance = Rc::clone(self);
@@ -27,7 +27,7 @@
     }
 
     pub(super) fn send_stop(self: &Rc<Self>, pool: String, order: StopOrder) {
-        info!(self.log, #ON_WORK, "stop"; "task" => &*order.task, "run" => order.run_id,
+        info!(self.log, #WORK_TAG, "stop"; "task" => &*order.task, "run" => order.run_id,
             "worker" => &*order.target.worker_id, "fence" => order.target.fence.token());
         self.metrics.stops.inc();
         let instance = Rc::clone(self);
@@ -41,10 +41,10 @@
     }
 
     pub(super) fn send_hold(self: &Rc<Self>, pool: String, order: HoldOrder) {
-        self.metrics.holds.inc();
+        self.metrics.lease_renewals.inc();
         let instance = Rc::clone(self);
         tokio::task::spawn_local(async move {
-            let outcome = instance.edge.hold(&order).await;
+            let outcome = instance.edge.renew(&order).await;
             let (worker, fence) = (order.target.worker, order.target.fence);
             let number = order.number;
             instance.with_owner(&pool, |owner, now_ms, out| {
--- a/crates/instance/src/instance/declared.rs
+++ b/crates/instance/src/instance/declared.rs
@@ -4,7 +4,7 @@
 //! store by which it is known, so that an answer that was held up never takes
 //! the place of a later one.
 
-use crate::declarations::{Declarations, DeclarationsRead, RouteTable};
+use crate::declarations::{Declarations, DeclarationsUpdate, RouteTable};
 
 use super::*;
 
@@ -26,7 +26,7 @@
 pub(super) struct Declared {
     table: Option<Rc<RouteTable>>,
     /// Revision of the store up to which `table` is known to be in force.
-    confirmed_at: u64,
+    confirmed_revision: u64,
     /// When the last reading began that confirmed it.
     confirmed_ms: Option<u64>,
     /// Since when others have had newer ones.
@@ -46,7 +46,7 @@
 
     /// Whether a peer with declarations of this revision may know more.
     pub(super) fn is_behind(&self, revision: u64) -> bool {
-        revision > self.confirmed_at.max(self.revision())
+        revision > self.confirmed_revision.max(self.revision())
     }
 
     /// Declarations whose routes are of no earlier version than those in force.
@@ -63,7 +63,7 @@
     }
 }
 
-impl<E: Store + Workers + 'static> Instance<E> {
+impl<E: Store + WorkerClient + 'static> Instance<E> {
     /// Declarations in force; none before the first.
     pub fn declarations(&self) -> Option<Rc<RouteTable>> {
         self.state.borrow().declared.table.clone()
@@ -74,7 +74,7 @@
     ///
     /// Load pattern: all instances start at once, and callers come before an
     /// instance has read the store, which takes 20 to 100 ms.
-    pub async fn declarations_soon(&self) -> Option<Rc<RouteTable>> {
+    pub async fn wait_for_declarations(&self) -> Option<Rc<RouteTable>> {
         let changed = self.declarations_changed.notified();
         if let Some(table) = self.declarations() {
             return Some(table);
@@ -86,15 +86,20 @@
     }
 
     /// Takes in a reading of the store that began at `began_ms`.
-    pub fn declarations_read(self: &Rc<Self>, read: DeclarationsRead, began_ms: u64) {
+    pub fn declarations_read(self: &Rc<Self>, read: DeclarationsUpdate, began_ms: u64) {
         self.change(|state, now_ms, effects| {
-            if read.confirmed_at < state.declared.confirmed_at.max(state.declared.revision()) {
+            if read.confirmed_revision
+                < state
+                    .declared
+                    .confirmed_revision
+                    .max(state.declared.revision())
+            {
                 return;
             }
             if let Some(declarations) = read.changed {
                 self.put_in_force(state, declarations, now_ms, effects);
             }
-            state.declared.confirmed_at = read.confirmed_at;
+            state.declared.confirmed_revision = read.confirmed_revision;
             if state.declared.table.is_some() {
                 state.declared.confirmed_ms = Some(began_ms);
             }
--- a/crates/instance/src/instance/effects.rs
+++ b/crates/instance/src/instance/effects.rs
@@ -26,7 +26,7 @@
     Ownership(ownership::Command),
 }
 
-impl<E: Store + Workers + 'static> Instance<E> {
+impl<E: Store + WorkerClient + 'static> Instance<E> {
     pub(super) fn carry_out(self: &Rc<Self>, effects: Effects) {
         let mut queue = VecDeque::new();
         enqueue(&mut queue, effects);
@@ -58,7 +58,7 @@
                 unsafe_for_ms,
                 unsafe_holder,
             } => {
-                info!(self.log, #ON_WORK, "delegated"; "job" => &spec.id, "pool" => &to.pool,
+                info!(self.log, #WORK_TAG, "delegated"; "job" => &spec.id, "pool" => &to.pool,
                     "owner" => &to.owner, "age_ms" => spec.age_ms,
                     "last_heard_ms" => last_heard_ms, "unsafe_for_ms" => unsafe_for_ms);
                 let delegate = Delegate {
@@ -82,7 +82,7 @@
                 from,
                 cause,
             } => {
-                info!(self.log, #ON_WORK, "delegation revoked"; "job" => job_id, "pool" => from.pool,
+                info!(self.log, #WORK_TAG, "delegation revoked"; "job" => job_id, "pool" => from.pool,
                 "owner" => from.owner, "cause" => ?cause)
             }
             entry::Command::Cancel { to, job_id } => {
@@ -110,7 +110,7 @@
                 ending,
                 reason,
             } => {
-                info!(self.log, #ON_WORK, "job ended"; "job" => &ending.job_id, "pool" => &pool,
+                info!(self.log, #WORK_TAG, "job ended"; "job" => &ending.job_id, "pool" => &pool,
                     "outcome" => ?ending.outcome, "reason" => reason,
                     "retry_after_ms" => ending.retry_after_ms);
                 match origin {
@@ -137,7 +137,7 @@
 
     fn write_note(&self, pool: &str, note: Note) {
         match note.about {
-            About::Work => info!(self.log, #ON_WORK, "{}", note.event;
+            About::Work => info!(self.log, #WORK_TAG, "{}", note.event;
                 "task" => note.subject, "worker" => note.worker,
                 "last_heard_ms" => note.last_heard_ms, "detail" => note.detail),
             About::Pool => info!(self.log, "{}", note.event;
--- a/crates/instance/src/instance/frames.rs
+++ b/crates/instance/src/instance/frames.rs
@@ -16,7 +16,7 @@
 /// Pause between two such questions to one peer.
 const ASK_AGAIN_MS: u64 = 1000;
 
-impl<E: Store + Workers + 'static> Instance<E> {
+impl<E: Store + WorkerClient + 'static> Instance<E> {
     pub(super) fn take_frame(self: &Rc<Self>, id: u64, frame: Frame) {
         let Some(body) = frame.body else {
             return;
--- a/crates/instance/src/instance/peers.rs
+++ b/crates/instance/src/instance/peers.rs
@@ -107,7 +107,7 @@
     }
 }
 
-impl<E: Store + Workers + 'static> Instance<E> {
+impl<E: Store + WorkerClient + 'static> Instance<E> {
     /// Accepts links from other instances until the process ends.
     pub async fn accept_links(self: Rc<Self>, listener: TcpListener) {
         loop {
--- a/crates/instance/src/instance/retire.rs
+++ b/crates/instance/src/instance/retire.rs
@@ -11,7 +11,7 @@
 use super::peers::{LinkEnd, encode};
 use super::*;
 
-impl<E: Store + Workers + 'static> Instance<E> {
+impl<E: Store + WorkerClient + 'static> Instance<E> {
     /// Drains links to peers that are no longer desired, and closes those that
     /// neither side needs.
     pub(super) fn retire_links(&self, state: &mut State, now_ms: u64, effects: &mut Effects) {
--- a/crates/instance/src/instance/stop.rs
+++ b/crates/instance/src/instance/stop.rs
@@ -16,16 +16,16 @@
 
 /// How a planned stop ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Ending {
+pub enum ShutdownOutcome {
     /// Every request was answered.
     Drained,
     /// The budget was spent before.
     BudgetSpent,
 }
 
-impl<E: Store + Workers + 'static> Instance<E> {
+impl<E: Store + WorkerClient + 'static> Instance<E> {
     /// Leaves the deployment, and returns when nothing is left to do.
-    pub async fn leave(self: Rc<Self>) -> Ending {
+    pub async fn shut_down(self: Rc<Self>) -> ShutdownOutcome {
         info!(self.log, "leaving"; "budget_ms" => self.settings.stop_budget_ms);
         let since_ms = self.now_ms();
         self.change(|state, _, _| {
@@ -49,7 +49,7 @@
         ending
     }
 
-    async fn drained(&self, since_ms: u64) -> Ending {
+    async fn drained(&self, since_ms: u64) -> ShutdownOutcome {
         let limit_ms = since_ms + self.settings.stop_budget_ms.saturating_sub(RESERVE_MS);
         loop {
             let now_ms = self.now_ms();
@@ -59,10 +59,10 @@
                 state.entry.is_empty() && owned.sum::<usize>() == 0
             };
             if idle && now_ms >= since_ms + BALANCER_MS {
-                return Ending::Drained;
+                return ShutdownOutcome::Drained;
             }
             if now_ms >= limit_ms {
-                return Ending::BudgetSpent;
+                return ShutdownOutcome::BudgetSpent;
             }
             tokio::time::sleep(Duration::from_millis(LOOK_MS)).await;
         }
--- a/crates/instance/src/lib.rs
+++ b/crates/instance/src/lib.rs
@@ -16,10 +16,10 @@
 
 pub mod clock;
 pub mod declarations;
-pub mod edge;
-pub mod feeds;
 pub mod instance;
 pub mod links;
 pub mod log;
 pub mod metrics;
+pub mod platform;
 pub mod settings;
+pub mod store_polling;
--- a/crates/instance/src/log.rs
+++ b/crates/instance/src/log.rs
@@ -18,7 +18,7 @@
 use slog_json::Json;
 
 /// Tag of records on jobs, runs and workers, which are dropped first.
-pub const ON_WORK: &str = "work";
+pub const WORK_TAG: &str = "work";
 
 /// Capacity of the buffer: a second of a busy instance's records.
 const BUFFER_BYTES_MAX: usize = 128 * 1024;
@@ -152,7 +152,7 @@
 
     fn log(&self, record: &Record<'_>, values: &OwnedKVList) -> Result<(), Never> {
         match record.tag() {
-            ON_WORK => self.on_work.log(record, values),
+            WORK_TAG => self.on_work.log(record, values),
             _ => self.others.log(record, values),
         }
     }
@@ -199,8 +199,8 @@
 /// # Errors
 ///
 /// When the writing thread cannot be started.
-pub fn root(instance: &str, failure_domain: &str) -> io::Result<(Logger, LogGuard)> {
-    root_to(io::stdout(), instance, failure_domain)
+pub fn root_logger(instance: &str, failure_domain: &str) -> io::Result<(Logger, LogGuard)> {
+    root_logger_to(io::stdout(), instance, failure_domain)
 }
 
 /// The same, to `out`.
@@ -208,7 +208,7 @@
 /// # Errors
 ///
 /// When the writing thread cannot be started.
-pub fn root_to(
+pub fn root_logger_to(
     out: impl Write + Send + 'static,
     instance: &str,
     failure_domain: &str,
--- a/crates/instance/src/metrics.rs
+++ b/crates/instance/src/metrics.rs
@@ -26,7 +26,7 @@
     /// Stops ordered.
     pub stops: IntCounter,
     /// Holds ordered.
-    pub holds: IntCounter,
+    pub lease_renewals: IntCounter,
     /// Requests that could not be read, or name nothing that is there.
     pub bad_requests: IntCounter,
     jobs_awaited: IntGauge,
@@ -56,7 +56,7 @@
             starts: counter(&registry, "trefoil_starts_total", "Starts ordered.")?,
             start_answer_ms: histogram(&registry, "trefoil_start_answer_ms", "Start to answer.")?,
             stops: counter(&registry, "trefoil_stops_total", "Stops ordered.")?,
-            holds: counter(&registry, "trefoil_holds_total", "Holds ordered.")?,
+            lease_renewals: counter(&registry, "trefoil_holds_total", "Holds ordered.")?,
             bad_requests: counter(
                 &registry,
                 "trefoil_bad_requests_total",
@@ -111,7 +111,7 @@
     /// # Errors
     ///
     /// When a metric cannot be encoded.
-    pub fn text(&self) -> Result<Vec<u8>, prometheus::Error> {
+    pub fn encode(&self) -> Result<Vec<u8>, prometheus::Error> {
         let mut text = Vec::new();
         TextEncoder::new().encode(&self.registry.gather(), &mut text)?;
         Ok(text)
--- a/crates/instance/src/edge.rs
+++ b/crates/instance/src/platform.rs
@@ -10,7 +10,7 @@
 use trefoil_core::dispatch::worker::WorkerRecord;
 use trefoil_schema::dispatch::Node;
 
-use crate::declarations::DeclarationsRead;
+use crate::declarations::DeclarationsUpdate;
 
 /// Why the store could not be used.
 #[derive(Clone, Debug, Display, Error, PartialEq, Eq)]
@@ -39,7 +39,7 @@
 
 /// Instances and claims, as the store holds them.
 #[derive(Clone, Debug, Default)]
-pub struct Deployment {
+pub struct DeploymentState {
     /// Registered instances.
     pub nodes: Vec<Node>,
     /// Claims with the revisions of their records.
@@ -54,9 +54,9 @@
 #[allow(async_fn_in_trait)]
 pub trait Store {
     /// The newest declarations.
-    async fn declarations(&self) -> Result<DeclarationsRead, StoreError>;
+    async fn declarations(&self) -> Result<DeclarationsUpdate, StoreError>;
     /// All instances and claims.
-    async fn deployment(&self) -> Result<Deployment, StoreError>;
+    async fn deployment_state(&self) -> Result<DeploymentState, StoreError>;
     /// Registered workers of a failure domain.
     async fn workers(&self, failure_domain: &str) -> Result<Vec<WorkerRecord>, StoreError>;
     /// Entries of the last readings that cannot be read, and are passed over.
@@ -66,18 +66,18 @@
     /// Ends the registration.
     async fn deregister(&self) -> Result<(), StoreError>;
     /// Lays out a failure domain's pools, unless that has been done.
-    async fn lay_out(&self, failure_domain: &str, pools: u32) -> Result<(), StoreError>;
+    async fn create_pools(&self, failure_domain: &str, pools: u32) -> Result<(), StoreError>;
     /// Writes a claim if its record still has `revision` (0: none).
     async fn write_claim(&self, record: &ClaimRecord, revision: u64) -> ClaimWrite;
 }
 
 /// The platform's workers.
 #[allow(async_fn_in_trait)]
-pub trait Workers {
+pub trait WorkerClient {
     /// Starts a run.
     async fn start(&self, order: &StartOrder) -> OrderOutcome;
     /// Stops a run.
     async fn stop(&self, order: &StopOrder) -> OrderOutcome;
     /// Renews leases and lists runs and ends.
-    async fn hold(&self, order: &HoldOrder) -> HoldOutcome;
+    async fn renew(&self, order: &HoldOrder) -> HoldOutcome;
 }
--- a/crates/instance/src/feeds.rs
+++ b/crates/instance/src/store_polling.rs
@@ -12,8 +12,8 @@
 use trefoil_core::dispatch::pool;
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-use crate::edge::{Store, StoreError, Workers};
 use crate::instance::Instance;
+use crate::platform::{Store, StoreError, WorkerClient};
 
 /// Period of an owner's reads: two fit into the two seconds in which
 /// declarations must be in force and draining workers be left alone.
@@ -59,12 +59,12 @@
 }
 
 /// Reads the store until the process ends.
-pub fn start<E: Store + Workers + 'static>(instance: &Rc<Instance<E>>) {
+pub fn start<E: Store + WorkerClient + 'static>(instance: &Rc<Instance<E>>) {
     tokio::task::spawn_local(read_forever(Rc::clone(instance)));
     tokio::task::spawn_local(register_forever(Rc::clone(instance)));
 }
 
-async fn read_forever<E: Store + Workers + 'static>(instance: Rc<Instance<E>>) {
+async fn read_forever<E: Store + WorkerClient + 'static>(instance: Rc<Instance<E>>) {
     let mut health = Health::default();
     let mut registered = Registered::default();
     loop {
@@ -74,7 +74,7 @@
         health.note(&instance, "reads", result);
         health.failed = failed;
         let left_to_others =
-            !instance.owns() && instance.store_is_watched() && !instance.is_unsettled();
+            !instance.owns_pools() && instance.store_is_watched() && !instance.is_unsettled();
         let period = match (failed, left_to_others) {
             (true, _) => RETRY,
             (false, true) => WATCHED_PERIOD,
@@ -87,20 +87,20 @@
     }
 }
 
-async fn read_once<E: Store + Workers + 'static>(
+async fn read_once<E: Store + WorkerClient + 'static>(
     instance: &Rc<Instance<E>>,
     registered: &mut Registered,
 ) -> Result<(), StoreError> {
     let domain = &instance.settings.failure_domain;
     let workers = async {
-        if instance.owns() {
+        if instance.owns_pools() {
             instance.workers_read(instance.edge.workers(domain).await?);
         }
         Ok(())
     };
     let deployment = async {
         let began_ms = instance.now_ms();
-        instance.deployment_read(instance.edge.deployment().await?, began_ms);
+        instance.deployment_read(instance.edge.deployment_state().await?, began_ms);
         if instance.may_lay_out() {
             lay_out(instance, registered).await?;
         }
@@ -136,7 +136,7 @@
 }
 
 /// Lays out the failure domain's pools once its workers have registered.
-async fn lay_out<E: Store + Workers + 'static>(
+async fn lay_out<E: Store + WorkerClient + 'static>(
     instance: &Rc<Instance<E>>,
     registered: &mut Registered,
 ) -> Result<(), StoreError> {
@@ -147,13 +147,13 @@
     }
     let pools = pool::count_for(workers);
     info!(instance.log, "laying out pools"; "workers" => workers, "pools" => pools);
-    instance.edge.lay_out(domain, pools).await?;
+    instance.edge.create_pools(domain, pools).await?;
     let began_ms = instance.now_ms();
-    instance.deployment_read(instance.edge.deployment().await?, began_ms);
+    instance.deployment_read(instance.edge.deployment_state().await?, began_ms);
     Ok(())
 }
 
-async fn register_forever<E: Store + Workers + 'static>(instance: Rc<Instance<E>>) {
+async fn register_forever<E: Store + WorkerClient + 'static>(instance: Rc<Instance<E>>) {
     let mut health = Health::default();
     let mut failures = 0;
     loop {
--- a/crates/instance/tests/log.rs
+++ b/crates/instance/tests/log.rs
@@ -4,7 +4,7 @@
 use std::sync::{Arc, Condvar, Mutex};
 
 use slog::info;
-use trefoil_instance::log::{ON_WORK, root_to};
+use trefoil_instance::log::{WORK_TAG, root_logger_to};
 
 /// Twice what the buffer holds.
 const LINES: usize = 3000;
@@ -53,9 +53,9 @@
     // Load pattern: an owner is lost, and each of its jobs brings several lines
     // before the line that says so.
     let output = Output::default();
-    let (log, guard) = root_to(output.clone(), "forde-1", "forde").unwrap();
+    let (log, guard) = root_logger_to(output.clone(), "forde-1", "forde").unwrap();
     for job in 0..LINES {
-        info!(log, #ON_WORK, "delegation revoked"; "job" => job);
+        info!(log, #WORK_TAG, "delegation revoked"; "job" => job);
     }
     info!(log, "ownership released"; "pool" => "forde/0");
     output.open();
--- a/crates/instance/tests/suspension.rs
+++ b/crates/instance/tests/suspension.rs
@@ -11,12 +11,12 @@
 use trefoil_core::dispatch::ownership::{ClaimRecord, ClaimWrite};
 use trefoil_core::dispatch::worker::WorkerRecord;
 use trefoil_instance::clock::Clock;
-use trefoil_instance::declarations::{Declarations, DeclarationsRead};
-use trefoil_instance::edge::{Deployment, Store, StoreError, Workers};
-use trefoil_instance::feeds;
+use trefoil_instance::declarations::{Declarations, DeclarationsUpdate};
 use trefoil_instance::instance::Instance;
 use trefoil_instance::metrics::Metrics;
+use trefoil_instance::platform::{DeploymentState, Store, StoreError, WorkerClient};
 use trefoil_instance::settings::InstanceSettings;
+use trefoil_instance::store_polling;
 use trefoil_schema::dispatch::Node;
 
 const DOMAIN: &str = "forde";
@@ -31,17 +31,17 @@
 }
 
 impl Store for Edge {
-    async fn declarations(&self) -> Result<DeclarationsRead, StoreError> {
-        Ok(DeclarationsRead {
-            confirmed_at: 1,
+    async fn declarations(&self) -> Result<DeclarationsUpdate, StoreError> {
+        Ok(DeclarationsUpdate {
+            confirmed_revision: 1,
             changed: Some(Declarations::default()),
         })
     }
 
-    async fn deployment(&self) -> Result<Deployment, StoreError> {
-        Ok(Deployment {
+    async fn deployment_state(&self) -> Result<DeploymentState, StoreError> {
+        Ok(DeploymentState {
             pool_counts: HashMap::from([(DOMAIN.to_owned(), 1)]),
-            ..Deployment::default()
+            ..DeploymentState::default()
         })
     }
 
@@ -61,7 +61,7 @@
         Ok(())
     }
 
-    async fn lay_out(&self, _failure_domain: &str, _pools: u32) -> Result<(), StoreError> {
+    async fn create_pools(&self, _failure_domain: &str, _pools: u32) -> Result<(), StoreError> {
         Ok(())
     }
 
@@ -73,7 +73,7 @@
     }
 }
 
-impl Workers for Edge {
+impl WorkerClient for Edge {
     async fn start(&self, _order: &StartOrder) -> OrderOutcome {
         OrderOutcome::NoAnswer
     }
@@ -82,7 +82,7 @@
         OrderOutcome::NoAnswer
     }
 
-    async fn hold(&self, _order: &HoldOrder) -> HoldOutcome {
+    async fn renew(&self, _order: &HoldOrder) -> HoldOutcome {
         HoldOutcome::NoAnswer
     }
 }
@@ -141,12 +141,12 @@
         let metrics = Metrics::new().unwrap();
         let instance = Instance::with_clock(settings(), log, metrics, edge, clock);
         spawn_local(Rc::clone(&instance).tick_forever());
-        feeds::start(&instance);
-        until("an owner", || instance.owns()).await;
+        store_polling::start(&instance);
+        until("an owner", || instance.owns_pools()).await;
         let before = claims.get();
         now_ms.set(now_ms.get() + SUSPENDED_MS);
-        until("released", || !instance.owns()).await;
-        until("an owner again", || instance.owns()).await;
+        until("released", || !instance.owns_pools()).await;
+        until("an owner again", || instance.owns_pools()).await;
         assert!(claims.get() > before, "under a claim of its own");
     });
 }
