--- a/crates/instance/src/instance/effects.rs
+++ b/crates/instance/src/instance/effects.rs
@@ -26,7 +26,7 @@
     Ownership(ownership::Command),
 }
 
-impl<E: Store + Workers + 'static> Instance<E> {
+impl<E: Store + WorkerClient + 'static> Instance<E> {
     pub(super) fn carry_out(self: &Rc<Self>, effects: Effects) {
         let mut queue = VecDeque::new();
         enqueue(&mut queue, effects);
@@ -61,7 +61,7 @@
                 unsafe_for_ms,
                 unsafe_holder,
             } => {
-                info!(self.log, #ON_WORK, "delegated"; "job" => &spec.id, "pool" => &to.pool,
+                info!(self.log, #WORK_TAG, "delegated"; "job" => &spec.id, "pool" => &to.pool,
                     "owner" => &to.owner, "age_ms" => spec.age_ms,
                     "last_heard_ms" => last_heard_ms, "unsafe_for_ms" => unsafe_for_ms);
                 let delegate = Delegate {
@@ -87,7 +87,7 @@
                 from,
                 cause,
             } => {
-                info!(self.log, #ON_WORK, "delegation revoked"; "job" => job_id, "pool" => from.pool,
+                info!(self.log, #WORK_TAG, "delegation revoked"; "job" => job_id, "pool" => from.pool,
                 "owner" => from.owner, "cause" => ?cause)
             }
             entry::Command::Cancel { to, job_id } => {
@@ -115,7 +115,7 @@
                 result,
                 reason,
             } => {
-                info!(self.log, #ON_WORK, "job ended"; "job" => &result.job_id, "pool" => &pool,
+                info!(self.log, #WORK_TAG, "job ended"; "job" => &result.job_id, "pool" => &pool,
                     "outcome" => ?result.outcome, "reason" => reason,
                     "retry_after_ms" => result.retry_after_ms);
                 match origin {
@@ -142,7 +142,7 @@
 
     fn write_note(&self, pool: &str, note: LogEvent) {
         match note.topic {
-            LogTopic::Work => info!(self.log, #ON_WORK, "{}", note.event;
+            LogTopic::Work => info!(self.log, #WORK_TAG, "{}", note.event;
                 "task" => note.subject, "worker" => note.worker,
                 "last_heard_ms" => note.last_heard_ms, "detail" => note.detail),
             LogTopic::Pool => info!(self.log, "{}", note.event;
