--- a/crates/fakes/src/bin/trefoil-check.rs
+++ b/crates/fakes/src/bin/trefoil-check.rs
@@ -4,7 +4,7 @@
 
 use clap::{Arg, ArgAction, ArgMatches, Command, value_parser};
 use trefoil_fakes::check::{
-    Report, check,
+    CheckReport, check,
     history::{read_history, read_starts},
 };
 
@@ -43,7 +43,7 @@
     Ok(all)
 }
 
-fn print(report: &Report) {
+fn print(report: &CheckReport) {
     println!("requests    {}", report.requests);
     println!("keys        {}", report.keys);
     println!("starts      {}", report.starts);
--- a/crates/fakes/src/check.rs
+++ b/crates/fakes/src/check.rs
@@ -14,7 +14,7 @@
 
 use serde_json::Value;
 
-use crate::worker::record::Start;
+use crate::worker::record::TaskStart;
 use history::{HistoryEntry, RequestKind, UNREACHABLE};
 pub use violation::Violation;
 
@@ -27,7 +27,7 @@
 
 /// What a check found.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Report {
+pub struct CheckReport {
     /// Requests read.
     pub requests: usize,
     /// Starts read.
@@ -46,11 +46,11 @@
 #[derive(Debug, Default)]
 struct KeyHistory<'a> {
     requests: Vec<&'a HistoryEntry>,
-    starts: Vec<(u32, &'a Start)>,
+    starts: Vec<(u32, &'a TaskStart)>,
 }
 
 /// Checks requests against starts.
-pub fn check(requests: &[HistoryEntry], starts: &[Start]) -> Report {
+pub fn check(requests: &[HistoryEntry], starts: &[TaskStart]) -> CheckReport {
     let mut violations = Vec::new();
     let keys = by_key(requests, starts, &mut violations);
     for (key, history) in &keys {
@@ -60,7 +60,7 @@
         violations.extend(two_answers(history));
     }
     violations.sort();
-    Report {
+    CheckReport {
         requests: requests.len(),
         starts: starts.len(),
         keys: keys.values().filter(|key| !key.requests.is_empty()).count(),
@@ -75,7 +75,7 @@
 
 fn by_key<'a>(
     requests: &'a [HistoryEntry],
-    starts: &'a [Start],
+    starts: &'a [TaskStart],
     violations: &mut Vec<Violation>,
 ) -> BTreeMap<&'a str, KeyHistory<'a>> {
     let mut keys: BTreeMap<&str, KeyHistory<'_>> = BTreeMap::new();
@@ -144,7 +144,7 @@
             .filter(|start| is_only_of(history, refused, start))
             .count();
     }
-    let earlier = |start: &&&Start| (start.wall_ms as f64) + CLOCK_BOUND_MS < refused.sent_ms;
+    let earlier = |start: &&&TaskStart| (start.wall_ms as f64) + CLOCK_BOUND_MS < refused.sent_ms;
     match has_later_word(history, refused) {
         true => starts.filter(earlier).count(),
         false => starts.count(),
@@ -152,7 +152,7 @@
 }
 
 /// Whether a start is of a body that only the refused kind of request sent.
-fn is_only_of(history: &KeyHistory<'_>, refused: &HistoryEntry, start: &Start) -> bool {
+fn is_only_of(history: &KeyHistory<'_>, refused: &HistoryEntry, start: &TaskStart) -> bool {
     let Some(token) = &start.token else {
         return false;
     };
--- a/crates/fakes/src/check/history.rs
+++ b/crates/fakes/src/check/history.rs
@@ -9,7 +9,7 @@
 use serde::{Deserialize, Serialize};
 use serde_json::Value;
 
-use crate::worker::record::Start;
+use crate::worker::record::TaskStart;
 
 /// Reason that the caller's side gives where no connection could be made:
 /// nothing was sent.
@@ -67,7 +67,7 @@
 }
 
 /// Reads starts as backend servers answer them: a JSON array.
-pub fn read_starts(path: &Path) -> io::Result<Vec<Start>> {
+pub fn read_starts(path: &Path) -> io::Result<Vec<TaskStart>> {
     let reader = BufReader::new(File::open(path)?);
     Ok(serde_json::from_reader(reader)?)
 }
--- a/crates/fakes/src/load/direct.rs
+++ b/crates/fakes/src/load/direct.rs
@@ -102,7 +102,7 @@
 pub(super) async fn run_job(run: Arc<Run>, plan: JobPlan) {
     let key = job::uuid7(&plan.key_random);
     let tokens = job::tokens(&key, job::OWN_BODY, plan.run_ms.len());
-    let (sent, sent_ms) = (Instant::now(), job::wall_ms());
+    let (sent, sent_ms) = (Instant::now(), job::unix_ms());
     let deadline_ms = match run.options.deadline_ms {
         0 => DEADLINE_DEFAULT_MS,
         deadline_ms => deadline_ms,
@@ -125,7 +125,7 @@
         key,
         entry: "direct".to_owned(),
         sent_ms,
-        answered_ms: job::wall_ms(),
+        answered_ms: job::unix_ms(),
         status: answer.status,
         verdict: answer.verdict,
         reason: answer.reason,
--- a/crates/fakes/src/load/entries.rs
+++ b/crates/fakes/src/load/entries.rs
@@ -196,7 +196,7 @@
             key: submission.key.clone(),
             body_hash: submission.body_hash.clone(),
             entry: to.to_string(),
-            sent_ms: job::wall_ms(),
+            sent_ms: job::unix_ms(),
             reason: CUT_OFF.to_owned(),
             tokens: submission.tokens.clone(),
             ..HistoryEntry::default()
@@ -219,7 +219,7 @@
 impl Drop for Record<'_> {
     fn drop(&mut self) {
         if let Some(mut entry) = self.entry.take() {
-            entry.answered_ms = job::wall_ms();
+            entry.answered_ms = job::unix_ms();
             self.run.remember(|| entry);
         }
     }
--- a/crates/fakes/src/load/job.rs
+++ b/crates/fakes/src/load/job.rs
@@ -54,12 +54,12 @@
 
 /// A key that carries its issue time: a UUID of version 7.
 pub(super) fn uuid7(random: &[u8; 10]) -> String {
-    let builder = Builder::from_unix_timestamp_millis(wall_ms() as u64, random);
+    let builder = Builder::from_unix_timestamp_millis(unix_ms() as u64, random);
     builder.into_uuid().to_string()
 }
 
 /// Unix time, in milliseconds.
-pub(super) fn wall_ms() -> f64 {
+pub(super) fn unix_ms() -> f64 {
     let since = SystemTime::now()
         .duration_since(UNIX_EPOCH)
         .unwrap_or_default();
--- a/crates/fakes/src/platform.rs
+++ b/crates/fakes/src/platform.rs
@@ -28,7 +28,7 @@
 };
 
 use crate::http::Server;
-use faults::{Counters, FaultOrder, Faults};
+use faults::{Counters, FaultUpdate, Faults};
 use messages::{Blob, DeleteRangeRequest, Int64, PutRequest, RangeRequest};
 use store::Store;
 
@@ -94,7 +94,7 @@
         self.changed.send_modify(|count| *count += 1);
     }
 
-    fn order(self: &Arc<Self>, order: &FaultOrder) {
+    fn update_faults(self: &Arc<Self>, order: &FaultUpdate) {
         order.apply(&mut self.faults());
         self.raise();
         if let Some(down_for_ms) = order.down_for_ms {
@@ -179,8 +179,8 @@
 
 impl PlatformHandle {
     /// Changes the faults in force.
-    pub fn order(&self, order: &FaultOrder) {
-        self.shared.order(order);
+    pub fn update_faults(&self, order: &FaultUpdate) {
+        self.shared.update_faults(order);
     }
 
     /// Calls counted so far.
--- a/crates/fakes/src/platform/faults.rs
+++ b/crates/fakes/src/platform/faults.rs
@@ -32,7 +32,7 @@
 /// An order that changes the faults; fields left out stay as they are.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
-pub struct FaultOrder {
+pub struct FaultUpdate {
     /// See [`Faults::down`].
     pub down: Option<bool>,
     /// Down at once, and up again after so many milliseconds.
@@ -47,7 +47,7 @@
     pub block_instances: Option<Vec<String>>,
 }
 
-impl FaultOrder {
+impl FaultUpdate {
     /// Changes `faults` as ordered.
     pub fn apply(&self, faults: &mut Faults) {
         let down = self.down_for_ms.map(|_| true).or(self.down);
--- a/crates/fakes/src/platform/service.rs
+++ b/crates/fakes/src/platform/service.rs
@@ -13,7 +13,7 @@
 
 use super::{
     Shared, defaults,
-    faults::{Call, FaultOrder, INSTANCE_HEADER},
+    faults::{Call, FaultUpdate, INSTANCE_HEADER},
     messages::{Int64, LeaseRequest, PutRequest, RequestOp, StreamItem, TxnRequest},
     watch,
 };
@@ -214,8 +214,8 @@
 fn control(shared: &Arc<Shared>, order: &str, body: &Bytes) -> Answer {
     match order {
         "counters" => http::ok_json(&*shared.counters()),
-        "faults" => parsed(body, |order: FaultOrder| {
-            shared.order(&order);
+        "faults" => parsed(body, |order: FaultUpdate| {
+            shared.update_faults(&order);
             http::ok_json(&order)
         }),
         "expire_lease" => parsed(body, |order: ExpireLease| {
--- a/crates/fakes/src/relay.rs
+++ b/crates/fakes/src/relay.rs
@@ -23,13 +23,13 @@
 pub enum LinkState {
     /// Bytes pass.
     #[default]
-    Whole,
+    Forwarding,
     /// Bytes are held back and connections stay open, as in a partition.
-    Silent,
+    Paused,
     /// The same for bytes towards the relayed address only.
-    SilentForth,
+    PausedUpstream,
     /// The same for bytes from the relayed address only.
-    SilentBack,
+    PausedDownstream,
     /// Connections are closed and new ones refused.
     Closed,
 }
@@ -44,10 +44,10 @@
 impl LinkState {
     fn holds_back(self, way: Way) -> bool {
         match self {
-            Self::Silent => true,
-            Self::SilentForth => way == Way::Forth,
-            Self::SilentBack => way == Way::Back,
-            Self::Whole | Self::Closed => false,
+            Self::Paused => true,
+            Self::PausedUpstream => way == Way::Forth,
+            Self::PausedDownstream => way == Way::Back,
+            Self::Forwarding | Self::Closed => false,
         }
     }
 }
@@ -99,8 +99,8 @@
 impl From<CutOrder> for LinkState {
     fn from(order: CutOrder) -> Self {
         match (order.cut, order.close) {
-            (false, _) => Self::Whole,
-            (true, false) => Self::Silent,
+            (false, _) => Self::Forwarding,
+            (true, false) => Self::Paused,
             (true, true) => Self::Closed,
         }
     }
@@ -120,12 +120,12 @@
 
 impl RelayHandle {
     /// Changes the state of the link.
-    pub fn set(&self, state: LinkState) {
+    pub fn set_state(&self, state: LinkState) {
         self.orders.send_modify(|orders| orders.state = state);
     }
 
     /// Silences for good the connections that are open now; new ones work.
-    pub fn silence_open(&self) {
+    pub fn pause_open_connections(&self) {
         self.orders.send_modify(|orders| orders.generation += 1);
     }
 
--- a/crates/fakes/src/worker.rs
+++ b/crates/fakes/src/worker.rs
@@ -20,8 +20,8 @@
 use tokio::{net::TcpListener, sync::Semaphore};
 
 use crate::http::{self, Answer, Server};
-use faults::{WorkerFaultOrder, WorkerFaults};
-use record::{Start, WorkerCounters};
+use faults::{WorkerFaultUpdate, WorkerFaults};
+use record::{TaskStart, WorkerCounters};
 
 pub use run::TASK_HEADER;
 
@@ -66,12 +66,12 @@
     slots: usize,
     started: Instant,
     servers: Vec<Arc<BackendServer>>,
-    starts: Mutex<Vec<Start>>,
+    starts: Mutex<Vec<TaskStart>>,
     counters: Mutex<WorkerCounters>,
 }
 
 impl Shared {
-    fn starts(&self) -> MutexGuard<'_, Vec<Start>> {
+    fn starts(&self) -> MutexGuard<'_, Vec<TaskStart>> {
         lock(&self.starts)
     }
 
@@ -79,7 +79,7 @@
         lock(&self.counters)
     }
 
-    fn order(&self, order: &WorkerFaultOrder) {
+    fn update_faults(&self, order: &WorkerFaultUpdate) {
         self.servers
             .iter()
             .enumerate()
@@ -103,12 +103,12 @@
 
 impl WorkersHandle {
     /// Changes the faults in force.
-    pub fn order(&self, order: &WorkerFaultOrder) {
-        self.shared.order(order);
+    pub fn update_faults(&self, order: &WorkerFaultUpdate) {
+        self.shared.update_faults(order);
     }
 
     /// Every start so far, in order.
-    pub fn starts(&self) -> Vec<Start> {
+    pub fn starts(&self) -> Vec<TaskStart> {
         self.shared.starts().clone()
     }
 
@@ -208,9 +208,9 @@
     match order {
         "counters" => http::ok_json(&*shared.counters()),
         "starts" => http::ok_json(&*shared.starts()),
-        "faults" => match http::from_json::<WorkerFaultOrder>(body) {
+        "faults" => match http::from_json::<WorkerFaultUpdate>(body) {
             Ok(order) => {
-                shared.order(&order);
+                shared.update_faults(&order);
                 http::ok_json(&order)
             }
             Err(error) => http::error(StatusCode::BAD_REQUEST, &error.to_string()),
--- a/crates/fakes/src/worker/faults.rs
+++ b/crates/fakes/src/worker/faults.rs
@@ -39,7 +39,7 @@
 /// An order that changes the faults; fields left out stay as they are.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
-pub struct WorkerFaultOrder {
+pub struct WorkerFaultUpdate {
     /// Index of the backend server; all of them where it is left out.
     pub worker: Option<usize>,
     /// See [`WorkerFaults::refuse_all`].
@@ -58,7 +58,7 @@
     pub hang: Option<bool>,
 }
 
-impl WorkerFaultOrder {
+impl WorkerFaultUpdate {
     /// Changes `faults` as ordered.
     pub fn apply(&self, faults: &mut WorkerFaults) {
         set(&mut faults.refuse_all, self.refuse_all);
--- a/crates/fakes/src/worker/record.rs
+++ b/crates/fakes/src/worker/record.rs
@@ -12,7 +12,7 @@
 
 /// One start of a task.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Start {
+pub struct TaskStart {
     /// The `Trefoil-Task` header: `KEY/INDEX/ATTEMPT`; empty where none came.
     pub task: String,
     /// Name of the backend server.
@@ -62,7 +62,7 @@
 }
 
 /// Unix time, in milliseconds.
-pub fn wall_ms() -> u64 {
+pub fn unix_ms() -> u64 {
     let since = SystemTime::now()
         .duration_since(UNIX_EPOCH)
         .unwrap_or_default();
--- a/crates/fakes/src/worker/run.rs
+++ b/crates/fakes/src/worker/run.rs
@@ -11,7 +11,7 @@
 use super::{
     BackendServer, Shared,
     faults::WorkerFaults,
-    record::{STARTS_MAX, Start, body_hash, wall_ms},
+    record::{STARTS_MAX, TaskStart, body_hash, unix_ms},
 };
 use crate::http::{self, Answer, CloseConnection};
 
@@ -116,11 +116,11 @@
 ) -> StartGuard {
     let held = (shared.slots - server.slots.available_permits()) as u64;
     let task = task.and_then(|task| task.to_str().ok()).unwrap_or_default();
-    let start = Start {
+    let start = TaskStart {
         task: task.to_owned(),
         worker: server.name.clone(),
         started_us: shared.started.elapsed().as_micros() as u64,
-        wall_ms: wall_ms(),
+        wall_ms: unix_ms(),
         body_hash: body_hash(body),
         token: token(payload),
         dropped: false,
--- a/crates/fakes/tests/check.rs
+++ b/crates/fakes/tests/check.rs
@@ -6,18 +6,18 @@
         Violation, check,
         history::{HistoryEntry, RequestKind},
     },
-    worker::record::Start,
+    worker::record::TaskStart,
 };
 
 const KEY: &str = "1700000000000-a/b";
 
-fn start(index: u32, attempt: u32, wall_ms: u64) -> Start {
-    Start {
+fn start(index: u32, attempt: u32, wall_ms: u64) -> TaskStart {
+    TaskStart {
         task: format!("{KEY}/{index}/{attempt}"),
         worker: "w".to_owned(),
         wall_ms,
         token: Some(format!("t{index}")),
-        ..Start::default()
+        ..TaskStart::default()
     }
 }
 
@@ -53,11 +53,11 @@
     }
 }
 
-fn violations(requests: &[HistoryEntry], starts: &[Start]) -> Vec<Violation> {
+fn violations(requests: &[HistoryEntry], starts: &[TaskStart]) -> Vec<Violation> {
     check(requests, starts).violations
 }
 
-fn both_starts() -> [Start; 2] {
+fn both_starts() -> [TaskStart; 2] {
     [start(0, 1, 110), start(1, 1, 120)]
 }
 
@@ -145,7 +145,7 @@
     };
     let requests = [complete(), other];
     assert_eq!(violations(&requests, &both_starts()), []);
-    let ran = Start {
+    let ran = TaskStart {
         token: Some("other".to_owned()),
         ..start(2, 1, 160)
     };
--- a/crates/fakes/tests/load.rs
+++ b/crates/fakes/tests/load.rs
@@ -16,7 +16,7 @@
     check::check,
     http::{self, Answer, CloseConnection, Server},
     load::{self, Bursts, LoadOptions, Policy, law::Law, plan::Plan},
-    worker::{self, WorkerOptions, faults::WorkerFaultOrder},
+    worker::{self, WorkerOptions, faults::WorkerFaultUpdate},
 };
 
 const SAMPLES: usize = 20_000;
@@ -83,10 +83,10 @@
         ..WorkerOptions::default()
     };
     let workers = worker::start(local(), options).await.unwrap();
-    workers.order(&WorkerFaultOrder {
+    workers.update_faults(&WorkerFaultUpdate {
         worker: Some(0),
         refuse_all: Some(true),
-        ..WorkerFaultOrder::default()
+        ..WorkerFaultUpdate::default()
     });
     let options = LoadOptions {
         direct: workers.addresses.clone(),
--- a/crates/fakes/tests/platform.rs
+++ b/crates/fakes/tests/platform.rs
@@ -9,7 +9,7 @@
 use tokio::time::timeout;
 use trefoil_fakes::{
     client::{Client, request},
-    platform::{self, PlatformHandle, PlatformOptions, faults::FaultOrder},
+    platform::{self, PlatformHandle, PlatformOptions, faults::FaultUpdate},
 };
 
 async fn start() -> (PlatformHandle, Client) {
@@ -105,9 +105,9 @@
 #[tokio::test]
 async fn a_write_whose_answer_was_dropped_took_effect() {
     let (platform, client) = start().await;
-    platform.order(&FaultOrder {
+    platform.update_faults(&FaultUpdate {
         drop_answers: Some(1),
-        ..FaultOrder::default()
+        ..FaultUpdate::default()
     });
     let body = swap("a/x", "0", "one").to_string();
     let lost = client.post(platform.address, "/v3/kv/txn", body).await;
@@ -123,9 +123,9 @@
 async fn an_outage_ends_watches_and_refuses_calls() {
     let (platform, client) = start().await;
     let mut stream = watch(&client, &platform, "0").await;
-    platform.order(&FaultOrder {
+    platform.update_faults(&FaultUpdate {
         down: Some(true),
-        ..FaultOrder::default()
+        ..FaultUpdate::default()
     });
     let ended = timeout(Duration::from_secs(5), stream.frame()).await;
     assert!(ended.unwrap().unwrap().is_err());
@@ -152,9 +152,9 @@
 #[tokio::test]
 async fn the_instance_list_lags_and_then_shows_what_was_set() {
     let (platform, client) = start().await;
-    platform.order(&FaultOrder {
+    platform.update_faults(&FaultUpdate {
         instance_list_lag_ms: Some(300),
-        ..FaultOrder::default()
+        ..FaultUpdate::default()
     });
     let body = json!({"create_request": {
         "key": b64("/platform/instances/"), "range_end": b64("/platform/instances0"),
@@ -184,9 +184,9 @@
 #[tokio::test]
 async fn a_blocked_instance_is_cut_off_and_others_are_not() {
     let (platform, client) = start().await;
-    platform.order(&FaultOrder {
+    platform.update_faults(&FaultUpdate {
         block_instances: Some(vec!["one".to_owned()]),
-        ..FaultOrder::default()
+        ..FaultUpdate::default()
     });
     let range = |instance: &'static str| {
         let mut request = request(Method::POST, platform.address, "/v3/kv/range", "{}");
@@ -226,9 +226,9 @@
 async fn a_slow_write_takes_effect_after_its_caller_gave_up() {
     let (platform, client) = start().await;
     let mut stream = watch(&client, &platform, "0").await;
-    platform.order(&FaultOrder {
+    platform.update_faults(&FaultUpdate {
         slow_ms: Some(200),
-        ..FaultOrder::default()
+        ..FaultUpdate::default()
     });
     let body = json!({"key": b64("a/x"), "value": b64("v")}).to_string();
     let put = client.post(platform.address, "/v3/kv/put", body);
--- a/crates/fakes/tests/relay.rs
+++ b/crates/fakes/tests/relay.rs
@@ -24,17 +24,17 @@
 #[tokio::test]
 async fn a_silent_cut_holds_bytes_until_restored() {
     let (relay, mut near, mut far) = pair().await;
-    relay.set(LinkState::Silent);
+    relay.set_state(LinkState::Paused);
     near.write_all(b"x").await.unwrap();
     assert!(timeout(SHORT, far.read_u8()).await.is_err());
-    relay.set(LinkState::Whole);
+    relay.set_state(LinkState::Forwarding);
     assert_eq!(far.read_u8().await.unwrap(), b'x');
 }
 
 #[tokio::test]
 async fn a_closing_cut_ends_connections() {
     let (relay, mut near, mut far) = pair().await;
-    relay.set(LinkState::Closed);
+    relay.set_state(LinkState::Closed);
     assert!(far.read_u8().await.is_err());
     assert!(near.read_u8().await.is_err());
     let mut refused = TcpStream::connect(relay.address).await.unwrap();
--- a/crates/fakes/tests/worker.rs
+++ b/crates/fakes/tests/worker.rs
@@ -6,7 +6,7 @@
 use tokio::time::{sleep, timeout};
 use trefoil_fakes::{
     client::{CallError, Client, Reply, request},
-    worker::{self, TASK_HEADER, WorkerOptions, WorkersHandle, faults::WorkerFaultOrder},
+    worker::{self, TASK_HEADER, WorkerOptions, WorkersHandle, faults::WorkerFaultUpdate},
 };
 
 const TASK: &str = "1700000000000-k/0/1";
@@ -68,15 +68,15 @@
 #[tokio::test]
 async fn faults_are_ordered_by_worker() {
     let (workers, client) = start(1).await;
-    workers.order(&WorkerFaultOrder {
+    workers.update_faults(&WorkerFaultUpdate {
         worker: Some(0),
         drop_after_start: Some(true),
-        ..WorkerFaultOrder::default()
+        ..WorkerFaultUpdate::default()
     });
-    workers.order(&WorkerFaultOrder {
+    workers.update_faults(&WorkerFaultUpdate {
         worker: Some(1),
         wrong_task: Some(true),
-        ..WorkerFaultOrder::default()
+        ..WorkerFaultUpdate::default()
     });
     let dropped = run(&client, workers.addresses[0], "{}").await;
     assert!(matches!(dropped, Err(CallError::Broken { .. })));
--- a/tests/testsuite/ctl_operator.rs
+++ b/tests/testsuite/ctl_operator.rs
@@ -3,7 +3,7 @@
 
 use std::path::Path;
 
-use trefoil_fakes::platform::faults::FaultOrder;
+use trefoil_fakes::platform::faults::FaultUpdate;
 use trefoil_schema::resources::Kind;
 use trefoilbay::ops::apply::{self, Change, Step};
 use trefoilbay::ops::client::{Client, ClientSettings};
@@ -107,9 +107,9 @@
     rollout::wait(client, revision, WAIT_MS, |_| ())
         .await
         .expect("in force");
-    stub.platform.order(&FaultOrder {
+    stub.platform.update_faults(&FaultUpdate {
         down: Some(true),
-        ..FaultOrder::default()
+        ..FaultUpdate::default()
     });
 
     let steps = plan(client, TEAM_100).await;
--- a/tests/testsuite/faults_domain.rs
+++ b/tests/testsuite/faults_domain.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use tokio::time::sleep;
-use trefoil_fakes::platform::faults::FaultOrder;
+use trefoil_fakes::platform::faults::FaultUpdate;
 use trefoil_fakes::relay::LinkState;
 
 use crate::support::callers::{Callers, reason_of};
@@ -47,7 +47,7 @@
     let deployment = two_domains().await;
     let all = (0..deployment.instances.len()).collect();
     let callers = Callers::start(&deployment.world, all, PERIOD_MS);
-    for state in [LinkState::Silent, LinkState::Closed] {
+    for state in [LinkState::Paused, LinkState::Closed] {
         // Running across the cut: started over there, asked for from here.
         let key = deployment.key_owned_by(3, true);
         let crossing = deployment.world.job(&key, 3, 400);
@@ -66,7 +66,7 @@
         assert_ne!(answer["state"], "complete", "{answer}");
         assert_ne!(answer["verdict"], "ran", "{answer}");
         sleep(CUT).await;
-        deployment.cut_domains(LinkState::Whole);
+        deployment.cut_domains(LinkState::Forwarding);
         crossed.await.unwrap();
         deployment.until_served().await;
         // The job that ran over there is found again, whole.
@@ -89,7 +89,7 @@
     let deployment = two_domains().await;
     let all = (0..deployment.instances.len()).collect();
     let callers = Callers::start(&deployment.world, all, PERIOD_MS);
-    deployment.cut_domains(LinkState::Silent);
+    deployment.cut_domains(LinkState::Paused);
     deployment.instances[FROZEN].freeze();
     until_cut(&deployment).await;
     sleep(CUT).await;
@@ -103,7 +103,7 @@
     deployment.world.submit(3, &job).await;
     deployment.instances[FROZEN].thaw();
     sleep(Duration::from_millis(100)).await;
-    deployment.cut_domains(LinkState::Whole);
+    deployment.cut_domains(LinkState::Forwarding);
     from_here.await.unwrap();
     deployment.until_served().await;
     deployment.world.submit_until_final(1, &job).await;
@@ -116,12 +116,12 @@
     let deployment = two_domains().await;
     let all = (0..deployment.instances.len()).collect();
     let callers = Callers::start(&deployment.world, all, PERIOD_MS);
-    let blocked = |names| FaultOrder {
+    let blocked = |names| FaultUpdate {
         block_instances: Some(names),
-        ..FaultOrder::default()
+        ..FaultUpdate::default()
     };
     deployment.order_platform(&blocked(deployment.names(1)));
-    deployment.cut_domains(LinkState::Silent);
+    deployment.cut_domains(LinkState::Paused);
     until_cut(&deployment).await;
     sleep(CUT).await;
     assert_both_sides_serve(&deployment, None).await;
@@ -130,7 +130,7 @@
     assert_eq!(deployment.try_put(4, &team).await, 503);
     let before = deployment.settled_revision(0).await;
     assert_eq!(deployment.try_put(1, &team).await, 200);
-    deployment.cut_domains(LinkState::Whole);
+    deployment.cut_domains(LinkState::Forwarding);
     deployment.settled_revision(before + 1).await;
     // Configuration and views pass between instances while the store is
     // still out of reach.
--- a/tests/testsuite/faults_owner.rs
+++ b/tests/testsuite/faults_owner.rs
@@ -5,7 +5,7 @@
 
 use tokio::task::JoinSet;
 use tokio::time::sleep;
-use trefoil_fakes::platform::faults::FaultOrder;
+use trefoil_fakes::platform::faults::FaultUpdate;
 
 use crate::support::callers::{Callers, Job, reason_of};
 use crate::support::deployment::{Deployment, Size, until};
@@ -134,9 +134,9 @@
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn a_kill_while_the_store_is_down_loses_only_the_dead_owners_keys() {
     let mut deployment = Deployment::start(Size::default()).await;
-    let down = |down| FaultOrder {
+    let down = |down| FaultUpdate {
         down: Some(down),
-        ..FaultOrder::default()
+        ..FaultUpdate::default()
     };
     let callers = Callers::start(&deployment.world, deployment.of_domain(0), PERIOD_MS);
     deployment.order_platform(&down(true));
--- a/tests/testsuite/faults_store.rs
+++ b/tests/testsuite/faults_store.rs
@@ -5,17 +5,17 @@
 
 use serde_json::{Value, json};
 use tokio::time::sleep;
-use trefoil_fakes::platform::faults::FaultOrder;
+use trefoil_fakes::platform::faults::FaultUpdate;
 
 use crate::support::callers::Callers;
 use crate::support::deployment::{Deployment, Size, until};
 
 const PERIOD_MS: u64 = 40;
 
-fn down(down: bool) -> FaultOrder {
-    FaultOrder {
+fn down(down: bool) -> FaultUpdate {
+    FaultUpdate {
         down: Some(down),
-        ..FaultOrder::default()
+        ..FaultUpdate::default()
     }
 }
 
@@ -63,9 +63,9 @@
 async fn answers_lost_after_the_write_change_nothing_twice() {
     let mut deployment = Deployment::start(Size::default()).await;
     let callers = Callers::start(&deployment.world, vec![0, 1], PERIOD_MS);
-    let lose = |count| FaultOrder {
+    let lose = |count| FaultUpdate {
         drop_answers: Some(count),
-        ..FaultOrder::default()
+        ..FaultUpdate::default()
     };
     let dropped = |deployment: &Deployment| deployment.platform.counters().dropped_answers;
     // A declaration.
@@ -103,10 +103,10 @@
 async fn a_slow_store_and_a_late_list_delay_no_work() {
     let mut deployment = Deployment::start(Size::default()).await;
     let callers = Callers::start(&deployment.world, vec![0, 1], PERIOD_MS);
-    let slow = |slow_ms, lag_ms| FaultOrder {
+    let slow = |slow_ms, lag_ms| FaultUpdate {
         slow_ms: Some(slow_ms),
         instance_list_lag_ms: Some(lag_ms),
-        ..FaultOrder::default()
+        ..FaultUpdate::default()
     };
     // Just within the limit of a call, so that some are given up.
     deployment.order_platform(&slow(450, 3_000));
--- a/tests/testsuite/faults_work.rs
+++ b/tests/testsuite/faults_work.rs
@@ -7,7 +7,7 @@
 use serde_json::Value;
 use tokio::task::JoinSet;
 use tokio::time::sleep;
-use trefoil_fakes::worker::faults::WorkerFaultOrder;
+use trefoil_fakes::worker::faults::WorkerFaultUpdate;
 
 use crate::support::callers::{Callers, reason_of};
 use crate::support::deployment::{Deployment, Size, until};
@@ -16,17 +16,17 @@
 const FAULT: Duration = Duration::from_millis(1_200);
 
 /// One fault of one worker, and its end.
-fn faults() -> [(WorkerFaultOrder, WorkerFaultOrder); 6] {
-    let none = WorkerFaultOrder {
+fn faults() -> [(WorkerFaultUpdate, WorkerFaultUpdate); 6] {
+    let none = WorkerFaultUpdate {
         fail_all: Some(false),
         wrong_task: Some(false),
         drop_after_start: Some(false),
         late_ms: Some(0),
         refuse_all: Some(false),
         hang: Some(false),
-        ..WorkerFaultOrder::default()
+        ..WorkerFaultUpdate::default()
     };
-    let fault = |worker, set: fn(&mut WorkerFaultOrder)| {
+    let fault = |worker, set: fn(&mut WorkerFaultUpdate)| {
         let mut end = none.clone();
         end.worker = Some(worker);
         let mut order = end.clone();
@@ -86,21 +86,21 @@
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn a_failed_job_is_told_alike_through_every_instance() {
-    let all = WorkerFaultOrder {
+    let all = WorkerFaultUpdate {
         fail_all: Some(false),
         wrong_task: Some(false),
         drop_after_start: Some(false),
-        ..WorkerFaultOrder::default()
+        ..WorkerFaultUpdate::default()
     };
-    let fail = WorkerFaultOrder {
+    let fail = WorkerFaultUpdate {
         fail_all: Some(true),
         ..all.clone()
     };
-    let cross = WorkerFaultOrder {
+    let cross = WorkerFaultUpdate {
         wrong_task: Some(true),
         ..all.clone()
     };
-    let close = WorkerFaultOrder {
+    let close = WorkerFaultUpdate {
         drop_after_start: Some(true),
         ..all.clone()
     };
--- a/tests/testsuite/leaving.rs
+++ b/tests/testsuite/leaving.rs
@@ -7,7 +7,7 @@
 use serde_json::Value;
 use tokio::time::sleep;
 use trefoil_fakes::check::history::UNREACHABLE;
-use trefoil_fakes::platform::faults::FaultOrder;
+use trefoil_fakes::platform::faults::FaultUpdate;
 
 use crate::support::callers::{Balancer, Callers, Job, reason_of};
 use crate::support::deployment::{Deployment, Size, until};
@@ -181,17 +181,17 @@
     let jobs = ended_jobs(&deployment, LEAVER, 2).await;
     let _balancer = Balancer::start(&deployment.world);
     let callers = Callers::start(&deployment.world, vec![0, 2], PERIOD_MS);
-    deployment.order_platform(&FaultOrder {
+    deployment.order_platform(&FaultUpdate {
         down: Some(true),
-        ..FaultOrder::default()
+        ..FaultUpdate::default()
     });
     deployment.instances[LEAVER].terminate();
     let exit = deployment.instances[LEAVER].exit_code(HINDERED_STOP_MAX);
     assert_eq!(exit.await, Some(0));
     assert_remembered(&resubmitted(&deployment, &jobs, &[0, 2]).await);
-    deployment.order_platform(&FaultOrder {
+    deployment.order_platform(&FaultUpdate {
         down: Some(false),
-        ..FaultOrder::default()
+        ..FaultUpdate::default()
     });
     deployment.until_served_at(&[0, 2]).await;
     assert_remembered(&resubmitted(&deployment, &jobs, &[0, 2]).await);
--- a/tests/testsuite/leaving_servers.rs
+++ b/tests/testsuite/leaving_servers.rs
@@ -9,8 +9,8 @@
 use serde_json::{Value, json};
 use tokio::process::Command;
 use tokio::time::sleep;
-use trefoil_fakes::platform::faults::FaultOrder;
-use trefoil_fakes::worker::record::wall_ms;
+use trefoil_fakes::platform::faults::FaultUpdate;
+use trefoil_fakes::worker::record::unix_ms;
 
 use crate::support::callers::Callers;
 use crate::support::deployment::{DOMAINS, Deployment, SERVICE, Size, until};
@@ -111,7 +111,7 @@
     let deployment = Deployment::start(Size::default()).await;
     let callers = Callers::start(&deployment.world, vec![0, 1, 2], PERIOD_MS);
     warm(&deployment).await;
-    let declared_ms = wall_ms();
+    let declared_ms = unix_ms();
     apply(&deployment, &server(&deployment, 0, "leaving")).await;
     check_gone(&deployment, callers, 0, declared_ms).await;
 }
@@ -122,7 +122,7 @@
     let callers = Callers::start(&deployment.world, vec![0, 1, 2], PERIOD_MS);
     warm(&deployment).await;
     let name = format!("{}-1", DOMAINS[0]);
-    let declared_ms = wall_ms();
+    let declared_ms = unix_ms();
     ctl(&deployment, &["delete", "backend-server", &name]).await;
     check_gone(&deployment, callers, 1, declared_ms).await;
 }
@@ -132,11 +132,11 @@
     let deployment = Deployment::start(Size::default()).await;
     let callers = Callers::start(&deployment.world, vec![0, 1, 2], PERIOD_MS);
     warm(&deployment).await;
-    let declared_ms = wall_ms();
+    let declared_ms = unix_ms();
     apply(&deployment, &server(&deployment, 2, "leaving")).await;
-    deployment.order_platform(&FaultOrder {
+    deployment.order_platform(&FaultUpdate {
         down: Some(true),
-        ..FaultOrder::default()
+        ..FaultUpdate::default()
     });
     check_gone(&deployment, callers, 2, declared_ms).await;
 }
--- a/tests/testsuite/operator.rs
+++ b/tests/testsuite/operator.rs
@@ -10,7 +10,7 @@
 use slog::{Discard, Logger, o};
 use tokio::task::JoinSet;
 use tokio::time::timeout;
-use trefoil_fakes::platform::faults::FaultOrder;
+use trefoil_fakes::platform::faults::FaultUpdate;
 use trefoil_fakes::platform::{self, PlatformHandle, PlatformOptions};
 use trefoil_schema::api::{InstanceStateName, InstanceStatus, StatusResponse};
 use trefoil_schema::settings::{PlatformSettings, Settings};
@@ -154,16 +154,16 @@
 }
 
 pub(crate) fn down(platform: &PlatformHandle, down: bool) {
-    platform.order(&FaultOrder {
+    platform.update_faults(&FaultUpdate {
         down: Some(down),
-        ..FaultOrder::default()
+        ..FaultUpdate::default()
     });
 }
 
 pub(crate) fn drop_answers(platform: &PlatformHandle, drop_answers: u64) {
-    platform.order(&FaultOrder {
+    platform.update_faults(&FaultUpdate {
         drop_answers: Some(drop_answers),
-        ..FaultOrder::default()
+        ..FaultUpdate::default()
     });
 }
 
--- a/tests/testsuite/operator_feed.rs
+++ b/tests/testsuite/operator_feed.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use tokio::time::timeout;
-use trefoil_fakes::platform::faults::FaultOrder;
+use trefoil_fakes::platform::faults::FaultUpdate;
 use trefoilbay::sources::platform::etcd::CallKind;
 
 use crate::operator::{IN_FORCE_WAIT, Instance, down, start_platform};
@@ -18,16 +18,16 @@
     one.put("", 1).await;
     two.run_ms_in_force(1).await;
     let ranges = two.store.calls().of(CallKind::Range);
-    platform.order(&FaultOrder {
+    platform.update_faults(&FaultUpdate {
         block_instances: Some(vec!["two".to_owned()]),
-        ..FaultOrder::default()
+        ..FaultUpdate::default()
     });
     one.put("", 2).await;
     one.run_ms_in_force(2).await;
     assert_eq!(two.config.current().services["pay"].spec.declared_run_ms, 1);
-    platform.order(&FaultOrder {
+    platform.update_faults(&FaultUpdate {
         block_instances: Some(Vec::new()),
-        ..FaultOrder::default()
+        ..FaultUpdate::default()
     });
     two.run_ms_in_force(2).await;
     let after = two.store.calls().of(CallKind::Range);
--- a/tests/testsuite/operator_sources.rs
+++ b/tests/testsuite/operator_sources.rs
@@ -12,7 +12,7 @@
 use tokio::sync::watch;
 use tokio::time::timeout;
 use trefoil_fakes::platform::PlatformHandle;
-use trefoil_fakes::platform::faults::FaultOrder;
+use trefoil_fakes::platform::faults::FaultUpdate;
 use trefoil_schema::settings::{PlatformSettings, Settings};
 use trefoilbay::sources::instances;
 use trefoilbay::sources::platform::etcd::{CallKind, EtcdJson};
@@ -138,9 +138,9 @@
     assert!(matches!(lost, Err(StoreError::MayHaveApplied { .. })));
     let again = store.put_if("k", "1".into(), 0).await.unwrap();
     assert!(matches!(again, CasResult::Conflict { current: Some(_) }));
-    platform.order(&FaultOrder {
+    platform.update_faults(&FaultUpdate {
         slow_ms: Some(1_000),
-        ..FaultOrder::default()
+        ..FaultUpdate::default()
     });
     let slow = store.put_if("k", "2".into(), 0).await;
     assert!(matches!(slow, Err(StoreError::MayHaveApplied { .. })));
--- a/tests/testsuite/support/callers.rs
+++ b/tests/testsuite/support/callers.rs
@@ -15,7 +15,7 @@
 use trefoil_core::key::{JobKey, rendezvous};
 use trefoil_fakes::check::history::{HistoryEntry, RequestKind, UNREACHABLE};
 use trefoil_fakes::client::{CallError, Client, Reply, request};
-use trefoil_fakes::worker::record::{Start, body_hash, wall_ms};
+use trefoil_fakes::worker::record::{TaskStart, body_hash, unix_ms};
 
 use super::deployment::{SERVICE, TEAM};
 
@@ -175,7 +175,7 @@
     ) -> String {
         loop {
             let key = match minted {
-                true => JobKey::mint(domain, wall_ms(), rand::random()),
+                true => JobKey::mint(domain, unix_ms(), rand::random()),
                 false => JobKey::parse(&uuid::Uuid::now_v7().to_string()).unwrap(),
             };
             if self.owns(domain, members, owner, &key) {
@@ -219,14 +219,14 @@
             key: job.key.clone(),
             body_hash: body_hash(job.body.as_bytes()),
             entry: self.entries[entry].to_string(),
-            sent_ms: wall_ms() as f64,
+            sent_ms: unix_ms() as f64,
             reason: LOST.to_owned(),
             tokens: job.tokens.clone(),
             ..HistoryEntry::default()
         };
         let reply = timeout(CALL_LIMIT, self.client.send(request)).await;
         let answer = read_answer(reply.ok(), &mut history);
-        history.answered_ms = wall_ms() as f64;
+        history.answered_ms = unix_ms() as f64;
         let request_verdict = match history.reason == UNREACHABLE {
             true => NOT_RUN.to_owned(),
             false => text(&answer, "request_verdict"),
@@ -300,7 +300,7 @@
 
     /// Keys with starts all of whose submissions were told that they
     /// themselves had started nothing.
-    pub fn false_request_verdicts(&self, starts: &[Start]) -> Vec<String> {
+    pub fn false_request_verdicts(&self, starts: &[TaskStart]) -> Vec<String> {
         let recorded = self.recorded.lock().unwrap();
         let mut may_have_run: BTreeMap<&str, bool> = BTreeMap::new();
         for item in recorded.iter() {
--- a/tests/testsuite/support/deployment.rs
+++ b/tests/testsuite/support/deployment.rs
@@ -17,11 +17,11 @@
 use trefoil_core::key::JobKey;
 use trefoil_fakes::check::check;
 use trefoil_fakes::client::request;
-use trefoil_fakes::platform::faults::FaultOrder;
+use trefoil_fakes::platform::faults::FaultUpdate;
 use trefoil_fakes::platform::{self, PlatformHandle, PlatformOptions};
 use trefoil_fakes::relay::{self, LinkState, RelayHandle};
-use trefoil_fakes::worker::faults::WorkerFaultOrder;
-use trefoil_fakes::worker::record::Start;
+use trefoil_fakes::worker::faults::WorkerFaultUpdate;
+use trefoil_fakes::worker::record::TaskStart;
 use trefoil_fakes::worker::{self, WorkerOptions, WorkersHandle};
 use trefoil_schema::settings::PeerSettings;
 
@@ -307,7 +307,7 @@
     /// Holds back, or passes again, all that goes between failure domains.
     pub fn cut_domains(&self, state: LinkState) {
         for link in &self.links {
-            link.relay.set(state);
+            link.relay.set_state(state);
         }
     }
 
@@ -323,13 +323,15 @@
             .count()
     }
 
-    pub fn order_platform(&self, order: &FaultOrder) {
-        self.platform.order(order);
+    pub fn order_platform(&self, order: &FaultUpdate) {
+        self.platform.update_faults(order);
     }
 
     /// Orders faults of one worker of each failure domain, or of all.
-    pub fn order_workers(&self, order: &WorkerFaultOrder) {
-        self.workers.iter().for_each(|workers| workers.order(order));
+    pub fn order_workers(&self, order: &WorkerFaultUpdate) {
+        self.workers
+            .iter()
+            .for_each(|workers| workers.update_faults(order));
     }
 
     /// Instances of a failure domain.
@@ -363,7 +365,7 @@
             .owns(DOMAINS[domain], &self.names(domain), name, &key)
     }
 
-    pub fn starts(&self) -> Vec<Start> {
+    pub fn starts(&self) -> Vec<TaskStart> {
         let starts = self.workers.iter().map(WorkersHandle::starts);
         starts.flatten().collect()
     }
