--- a/crates/replay/examples/owner_rate.rs
+++ b/crates/replay/examples/owner_rate.rs
@@ -1,4 +1,4 @@
-//! Prints what an owner's events cost, by the length of its queue.
+//! Benchmarks the events of an owner by the length of its queue.
 //!
 //! `cargo run --release -p trefoil-replay --example owner_rate`
 
@@ -12,17 +12,17 @@
 use trefoil_core::dispatch::worker::{Room, WorkerRecord};
 use trefoil_schema::dispatch::{Job, Phase};
 
-/// Workers of the pool: the most that a pool is laid out with.
+/// Workers of the pool, as many as the largest pools have.
 const WORKERS: usize = 60;
 const ORIGIN: Origin = Origin::Link(1);
-/// Events that each figure is the mean of.
+/// Events averaged for each result.
 const EVENTS: usize = 200;
 
 fn main() {
     println!("{:>7} {:>12} {:>9}", "waiting", "delegate us", "tick us");
     for waiting in [0, 10, 30, 100, 300] {
         let mut owner = owner();
-        // Far objectives: all of them wait.
+        // Distant objectives, so that every job is admitted and waits.
         fill(&mut owner, 100, 100_000.0, "running");
         fill(&mut owner, waiting, 100_000.0, "waiting");
         let begun = Instant::now();
@@ -67,7 +67,7 @@
     }
 }
 
-/// An owner whose workers obey and are empty.
+/// An owner with fenced, idle workers.
 fn owner() -> Owner {
     let mut owner = Owner::new("pool", Fence::new(1, "owner"), 1);
     let records = (0..WORKERS).map(|index| WorkerRecord {
--- a/crates/replay/src/arrivals.rs
+++ b/crates/replay/src/arrivals.rs
@@ -1,77 +1,75 @@
-//! The jobs of a pattern, drawn from a seed.
+//! The jobs of a pattern, generated from a seed.
 
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use trefoil_fakes::load::law::{Law, exponential};
 use trefoil_schema::dispatch::{Job, Phase};
 
-use crate::pattern::{Change, Class, Pattern};
+use crate::pattern::{Disturbance, JobClass, Pattern};
 
-/// Objective: this factor of the longest task ...
-pub const STRETCH: f64 = 1.6;
-/// ... and this much more.
-pub const SLO_MS: u64 = 60;
-/// Up to this multiple of the objective, an answer is late but of some use.
-pub const LATE_FACTOR: u64 = 3;
-/// How long callers wait beyond their late objective.
+/// The response time objective is `STRETCH` times the longest run time plus `SLO_MS`.
+const STRETCH: f64 = 1.6;
+const SLO_MS: u64 = 60;
+/// Answers up to this multiple of the objective count as late, beyond it as too late.
+const LATE_FACTOR: u64 = 3;
+/// How long callers wait after an answer has become too late.
 const PATIENCE_MS: u64 = 1500;
-/// Spread of widths and run times within a class (deviation of the logarithm).
+/// Standard deviation of the logarithm of widths and run times within a class.
 const CLASS_SIGMA: f64 = 0.4;
-/// Spread of run times within a job.
+/// Standard deviation of the logarithm of run times within a job.
 const TASK_SIGMA: f64 = 0.15;
-/// Estimates are off by so much (deviation of the logarithm).
+/// Standard deviation of the logarithm of the estimates' error.
 const ESTIMATE_SIGMA: f64 = 0.4;
-/// Most tasks, in multiples of the class's mean.
+/// Maximum number of tasks, as a multiple of the class's mean.
 const TASKS_FACTOR_MAX: f64 = 4.0;
-/// Longest run, in multiples of the class's mean.
+/// Maximum run time, as a multiple of the class's mean.
 const RUN_FACTOR_MAX: f64 = 4.0;
-/// Processor that a task takes: about half of a common worker.
-const CPU: Law = Law::Lognormal {
+/// CPU request of a task: about half a standard worker.
+const CPU_MILLICORES: Law = Law::Lognormal {
     mean: 8000.0,
     sigma: 0.2,
 };
-/// Largest processor share of a task.
-const CPU_MAX: f64 = 12_000.0;
+const CPU_MILLICORES_MAX: f64 = 12_000.0;
 
-/// One job that a caller sends.
+/// A job submitted by a caller. Times count from the first possible arrival.
 #[derive(Clone, Debug)]
 pub struct Arrival {
-    /// When its request arrives.
+    /// Arrival time of the first request.
     pub at_ms: u64,
-    /// Position of its class.
+    /// Position of its class in the pattern.
     pub class: usize,
-    /// Failure domain of the entry that it reaches.
+    /// Failure domain of its entry instance.
     pub domain: u32,
-    /// Entry of that failure domain.
+    /// Index of its entry instance within the failure domain.
     pub entry: u32,
-    /// The job, as the caller declares it.
+    /// The submitted job, with the caller's estimates.
     pub spec: Job,
-    /// True run times of its tasks on a worker of common speed.
-    pub runs_ms: Vec<u64>,
-    /// Whether its tasks fail whenever they run.
-    pub fails: bool,
-    /// When the caller leaves without an answer.
-    pub leaves_ms: u64,
-    /// Until when an answer meets the objective.
+    /// Actual run times of its tasks on a standard worker.
+    pub run_times_ms: Vec<u64>,
+    /// Whether its tasks fail on every attempt.
+    pub always_fails: bool,
+    /// When the caller gives up waiting.
+    pub abandons_ms: u64,
+    /// Latest answer that meets the objective.
     pub due_ms: u64,
-    /// Until when an answer is of some use.
-    pub late_ms: u64,
+    /// Latest answer that counts as late rather than too late.
+    pub useful_until_ms: u64,
 }
 
 impl Arrival {
-    /// Work, thousandths of a core times milliseconds.
+    /// Total CPU work, in millicore-milliseconds.
     pub fn work(&self) -> u64 {
-        let run_ms: u64 = self.runs_ms.iter().sum();
+        let run_ms: u64 = self.run_times_ms.iter().sum();
         run_ms * self.spec.phases[0].cpu_millicores
     }
 }
 
-/// All jobs of a pattern, by arrival.
-pub fn draw(pattern: &Pattern, seed: u64) -> Vec<Arrival> {
+/// All jobs of a pattern, in order of arrival.
+pub fn generate(pattern: &Pattern, seed: u64) -> Vec<Arrival> {
     let mut random = ChaCha8Rng::seed_from_u64(seed);
     let mut arrivals = Vec::new();
     for class in 0..pattern.classes.len() {
-        draw_class(pattern, class, &mut random, &mut arrivals);
+        generate_class(pattern, class, &mut random, &mut arrivals);
     }
     arrivals.sort_by_key(|arrival: &Arrival| arrival.at_ms);
     for (index, arrival) in arrivals.iter_mut().enumerate() {
@@ -80,7 +78,7 @@
     arrivals
 }
 
-fn draw_class(
+fn generate_class(
     pattern: &Pattern,
     class: usize,
     random: &mut ChaCha8Rng,
@@ -89,9 +87,9 @@
     let mut at_ms = 0.0;
     loop {
         let factor = burst_factor(pattern, class, at_ms as u64);
-        let per_ms = pattern.classes[class].usual_per_s * factor / 1000.0;
+        let per_ms = pattern.classes[class].base_rate_per_s * factor / 1000.0;
         at_ms += exponential(random, per_ms);
-        if at_ms >= pattern.length_ms as f64 {
+        if at_ms >= pattern.duration_ms as f64 {
             return;
         }
         arrivals.push(arrival(pattern, class, at_ms as u64, random));
@@ -99,17 +97,22 @@
 }
 
 fn burst_factor(pattern: &Pattern, class: usize, now_ms: u64) -> f64 {
-    let factors = pattern.changes.iter().filter_map(|change| match *change {
-        Change::Burst {
-            class: one,
-            factor,
-            from_ms,
-            to_ms,
-        } if one.is_none_or(|one| one == class) && (from_ms..to_ms).contains(&now_ms) => {
-            Some(factor)
-        }
-        _ => None,
-    });
+    let factors = pattern
+        .disturbances
+        .iter()
+        .filter_map(|disturbance| match *disturbance {
+            Disturbance::Burst {
+                class: affected,
+                factor,
+                from_ms,
+                to_ms,
+            } if affected.is_none_or(|affected| affected == class)
+                && (from_ms..to_ms).contains(&now_ms) =>
+            {
+                Some(factor)
+            }
+            _ => None,
+        });
     factors.product()
 }
 
@@ -121,39 +124,39 @@
     };
     let run_max_ms = shape.run_mean_ms * RUN_FACTOR_MAX;
     let run_ms = run_law.sample(random).clamp(1.0, run_max_ms);
-    let tasks = tasks_of(shape, random);
-    let uneven = spread(TASK_SIGMA);
-    let runs_ms: Vec<u64> = (0..tasks)
-        .map(|_| (run_ms * uneven.sample(random)).max(1.0) as u64)
+    let tasks = sample_task_count(shape, random);
+    let task_noise = noise_factor(TASK_SIGMA);
+    let run_times_ms: Vec<u64> = (0..tasks)
+        .map(|_| (run_ms * task_noise.sample(random)).max(1.0) as u64)
         .collect();
-    let estimate_ms = (run_ms * spread(ESTIMATE_SIGMA).sample(random)).max(1.0) as u64;
-    let longest_ms = runs_ms.iter().copied().max().unwrap_or(0);
+    let estimate_ms = (run_ms * noise_factor(ESTIMATE_SIGMA).sample(random)).max(1.0) as u64;
+    let longest_ms = run_times_ms.iter().copied().max().unwrap_or(0);
     let objective_ms = (STRETCH * longest_ms as f64) as u64 + SLO_MS;
     let mut arrival = Arrival {
         at_ms,
         class,
-        domain: random.random_range(0..pattern.fleet.domains),
-        entry: random.random_range(0..pattern.fleet.entries_per_domain),
-        spec: spec_of(shape, tasks, estimate_ms, random),
-        runs_ms,
-        fails: false,
-        leaves_ms: at_ms + LATE_FACTOR * objective_ms + PATIENCE_MS,
+        domain: random.random_range(0..pattern.topology.domains),
+        entry: random.random_range(0..pattern.topology.entries_per_domain),
+        spec: job_spec(shape, tasks, estimate_ms, random),
+        run_times_ms,
+        always_fails: false,
+        abandons_ms: at_ms + LATE_FACTOR * objective_ms + PATIENCE_MS,
         due_ms: at_ms + objective_ms,
-        late_ms: at_ms + LATE_FACTOR * objective_ms,
+        useful_until_ms: at_ms + LATE_FACTOR * objective_ms,
     };
-    for change in &pattern.changes {
-        apply(change, &mut arrival, random);
+    for disturbance in &pattern.disturbances {
+        apply(disturbance, &mut arrival, random);
     }
     arrival.spec.patience_ms = LATE_FACTOR * objective_ms + PATIENCE_MS;
     arrival
 }
 
-/// A factor whose logarithm deviates by `sigma`.
-fn spread(sigma: f64) -> Law {
+/// Lognormal factor of mean 1.
+fn noise_factor(sigma: f64) -> Law {
     Law::Lognormal { mean: 1.0, sigma }
 }
 
-fn tasks_of(shape: &Class, random: &mut ChaCha8Rng) -> u32 {
+fn sample_task_count(shape: &JobClass, random: &mut ChaCha8Rng) -> u32 {
     let law = Law::Lognormal {
         mean: shape.tasks_mean,
         sigma: CLASS_SIGMA,
@@ -162,7 +165,7 @@
     tasks.clamp(1.0, shape.tasks_mean * TASKS_FACTOR_MAX) as u32
 }
 
-fn spec_of(shape: &Class, count: u32, estimate_ms: u64, random: &mut ChaCha8Rng) -> Job {
+fn job_spec(shape: &JobClass, count: u32, estimate_ms: u64, random: &mut ChaCha8Rng) -> Job {
     Job {
         service: "service".to_owned(),
         priority: shape.priority,
@@ -172,7 +175,7 @@
         class: shape.name.to_owned(),
         phases: vec![Phase {
             count,
-            cpu_millicores: CPU.sample(random).min(CPU_MAX) as u64,
+            cpu_millicores: CPU_MILLICORES.sample(random).min(CPU_MILLICORES_MAX) as u64,
             memory_mb: 64,
             estimate_ms,
             ..Phase::default()
@@ -181,32 +184,32 @@
     }
 }
 
-fn apply(change: &Change, arrival: &mut Arrival, random: &mut ChaCha8Rng) {
+fn apply(disturbance: &Disturbance, arrival: &mut Arrival, random: &mut ChaCha8Rng) {
     let at_ms = arrival.at_ms;
-    let mut drawn = |share: f64| random.random::<f64>() < share;
-    match *change {
-        Change::Impatience {
+    let mut selected = |share: f64| random.random::<f64>() < share;
+    match *disturbance {
+        Disturbance::Abandonment {
             share,
             after_ms,
             from_ms,
             to_ms,
-        } if (from_ms..to_ms).contains(&at_ms) && drawn(share) => {
-            arrival.leaves_ms = at_ms + after_ms;
+        } if (from_ms..to_ms).contains(&at_ms) && selected(share) => {
+            arrival.abandons_ms = at_ms + after_ms;
         }
-        Change::Hopeless {
+        Disturbance::AlwaysFailing {
             share,
             from_ms,
             to_ms,
-        } if (from_ms..to_ms).contains(&at_ms) && drawn(share) => arrival.fails = true,
-        Change::Shift {
+        } if (from_ms..to_ms).contains(&at_ms) && selected(share) => arrival.always_fails = true,
+        Disturbance::CallersMove {
             share,
             from_ms,
             to_ms,
-        } if (from_ms..to_ms).contains(&at_ms) && arrival.domain == 0 && drawn(share) => {
+        } if (from_ms..to_ms).contains(&at_ms) && arrival.domain == 0 && selected(share) => {
             arrival.domain = 1;
         }
-        // Their objectives count from the first try.
-        Change::Outage { from_ms, to_ms } if (from_ms..to_ms).contains(&at_ms) => {
+        // The objective still counts from the original arrival.
+        Disturbance::Outage { from_ms, to_ms } if (from_ms..to_ms).contains(&at_ms) => {
             arrival.at_ms = to_ms;
         }
         _ => {}
--- a/crates/replay/src/bin/trefoil-replay.rs
+++ b/crates/replay/src/bin/trefoil-replay.rs
@@ -1,18 +1,18 @@
-//! Replays load patterns over the decisions of dispatch and prints what callers
-//! see, beside what no scheduler can exceed.
+//! Replays load patterns against the dispatch state machines and prints what callers get, beside
+//! an upper bound for any scheduler.
 
 use std::error::Error;
 use std::path::PathBuf;
 
 use clap::{Arg, ArgAction, ArgMatches, Command, value_parser};
 use trefoil_core::dispatch::owner::Settings;
-use trefoil_replay::figures::{Figures, Table};
 use trefoil_replay::pattern::{self, Pattern};
-use trefoil_replay::plot::{self, Compared};
-use trefoil_replay::{arrivals, bound, world};
+use trefoil_replay::plot::{self, Comparison};
+use trefoil_replay::stats::{ReplayStats, Table};
+use trefoil_replay::{arrivals, bound, simulation};
 
-/// Every job is admitted, and refused only once it is hopeless.
-const ADMITS_ALL: Settings = Settings { admits_all: true };
+/// Admits every job and refuses one only when its objective cannot be met anymore.
+const ADMIT_ALL: Settings = Settings { admits_all: true };
 
 fn main() -> Result<(), Box<dyn Error>> {
     let matches = command().get_matches();
@@ -28,10 +28,10 @@
 fn command() -> Command {
     let names: Vec<&str> = pattern::all().iter().map(|pattern| pattern.name).collect();
     Command::new("trefoil-replay")
-        .about("replays load patterns over the decisions of dispatch, in virtual time")
+        .about("replays load patterns against the dispatch state machines, in virtual time")
         .arg(
             Arg::new("pattern")
-                .help("names of patterns; all without any")
+                .help("patterns to replay [default: all]")
                 .num_args(0..)
                 .value_parser(names),
         )
@@ -39,32 +39,32 @@
             Arg::new("seeds")
                 .long("seeds")
                 .value_name("N")
-                .help("how many seeds of each pattern, from 1 on")
+                .help("replay each pattern with the seeds 1 to N")
                 .default_value("1")
                 .value_parser(value_parser!(u64).range(1..)),
         )
         .arg(
             Arg::new("brief")
                 .long("brief")
-                .help("one line a replay")
+                .help("print one line per replay")
                 .action(ArgAction::SetTrue),
         )
         .arg(
             Arg::new("admit-all")
                 .long("admit-all")
-                .help("admit every job and refuse only the hopeless ones")
+                .help("disable admission control")
                 .action(ArgAction::SetTrue),
         )
         .arg(
             Arg::new("compare")
                 .long("compare")
                 .value_name("FILE.svg")
-                .help("replay with admission and without, print both, and write a plot")
+                .help("replay with and without admission control, print both, and write a plot")
                 .value_parser(value_parser!(PathBuf)),
         )
 }
 
-/// The patterns and seeds that were asked for.
+/// The selected patterns and seeds.
 fn replays(matches: &ArgMatches) -> Vec<(Pattern, u64)> {
     let seeds = matches.get_one::<u64>("seeds").copied().unwrap_or(1);
     let names: Vec<&String> = matches
@@ -72,21 +72,21 @@
         .map(Iterator::collect)
         .unwrap_or_default();
     let mut patterns = pattern::all();
-    patterns.retain(|one| names.is_empty() || names.iter().any(|name| *name == one.name));
+    patterns.retain(|pattern| names.is_empty() || names.iter().any(|name| *name == pattern.name));
     let seeded = |pattern: Pattern| (1..=seeds).map(move |seed| (pattern.clone(), seed));
     patterns.into_iter().flat_map(seeded).collect()
 }
 
 fn show(matches: &ArgMatches) {
     let settings = match matches.get_flag("admit-all") {
-        true => ADMITS_ALL,
+        true => ADMIT_ALL,
         false => Settings::default(),
     };
     for (pattern, seed) in replays(matches) {
-        let (figures, bound) = replay(&pattern, seed, settings);
+        let (stats, bound) = replay(&pattern, seed, settings);
         let table = Table {
             pattern: &pattern,
-            figures: &figures,
+            stats: &stats,
             bound,
         };
         match matches.get_flag("brief") {
@@ -97,33 +97,35 @@
 }
 
 fn compare(matches: &ArgMatches, file: &std::path::Path) -> Result<(), Box<dyn Error>> {
-    let mut rows: Vec<Compared> = Vec::new();
-    println!("| pattern, seed | every job admitted | judged |");
+    let mut rows: Vec<Comparison> = Vec::new();
+    println!("| pattern, seed | every job admitted | admission control |");
     println!("|---|---|---|");
     for (pattern, seed) in replays(matches) {
         let share = |settings| {
-            let (figures, bound) = replay(&pattern, seed, settings);
-            figures.credit(&pattern) / bound
+            let (stats, bound) = replay(&pattern, seed, settings);
+            stats.weighted_goodput(&pattern) / bound
         };
-        let row = Compared {
+        let row = Comparison {
             pattern: format!("{} {seed}", pattern.name),
-            judged: share(Settings::default()),
-            admits_all: share(ADMITS_ALL),
+            admission_control: share(Settings::default()),
+            admit_all: share(ADMIT_ALL),
         };
         println!(
             "| {} | {:.2} | {:.2} |",
-            row.pattern, row.admits_all, row.judged
+            row.pattern, row.admit_all, row.admission_control
         );
         rows.push(row);
     }
-    plot::draw(&rows, file)
+    plot::write_svg(&rows, file)
 }
 
-/// What callers saw, and the bound on their credit.
-fn replay(pattern: &Pattern, seed: u64, settings: Settings) -> (Figures, f64) {
-    let arrivals = arrivals::draw(pattern, seed);
-    let seen = world::run(pattern, &arrivals, settings).seen;
-    let figures = Figures::count(pattern, &arrivals, &seen);
-    let bound = bound::credit(pattern, &arrivals, |at_ms| world::room_at(pattern, at_ms));
-    (figures, bound)
+/// Results of a replay, and the upper bound on their weighted goodput.
+fn replay(pattern: &Pattern, seed: u64, settings: Settings) -> (ReplayStats, f64) {
+    let arrivals = arrivals::generate(pattern, seed);
+    let outcomes = simulation::run(pattern, &arrivals, settings).first_attempts;
+    let stats = ReplayStats::new(pattern, &arrivals, &outcomes);
+    let bound = bound::max_weighted_goodput(pattern, &arrivals, |at_ms| {
+        simulation::capacity_at(pattern, at_ms)
+    });
+    (stats, bound)
 }
--- a/crates/replay/src/lib.rs
+++ b/crates/replay/src/lib.rs
@@ -1,25 +1,24 @@
-//! Replays load patterns over the decisions of dispatch, in virtual time.
+//! Replays load patterns against the dispatch state machines, in virtual time.
 //!
-//! Entries, owners and their rules are the real ones of `trefoil_core::dispatch`;
-//! links, workers and callers are events in a queue. It answers one question:
-//! what do callers of each class see when more comes than the workers have room
-//! for, and how much of it could any scheduler have served?
+//! Entries and owners are those of `trefoil_core::dispatch`; links, workers and callers are
+//! simulated by an event queue. A replay shows what callers of each job class get under overload,
+//! beside an upper bound for any scheduler.
 //!
-//! * [`pattern`]: load patterns as data, and those that are named.
-//! * [`arrivals`]: the jobs of a pattern, drawn from a seed.
-//! * [`world`]: the events, and what callers are told.
+//! * [`pattern`]: load patterns.
+//! * [`arrivals`]: the jobs of a pattern, generated from a seed.
+//! * [`simulation`]: the discrete-event simulation.
 //! * [`worker`]: a simulated worker.
-//! * [`figures`]: what callers saw, by class.
-//! * [`bound`]: what no scheduler can exceed.
-//! * [`plot`]: two policies beside the bound.
+//! * [`stats`]: what callers got, by job class.
+//! * [`bound`]: upper bound for any scheduler.
+//! * [`plot`]: two admission policies relative to the bound.
 //!
-//! It has no network, no losses and no clocks that differ: those are what the
-//! histories of `trefoil-core` and the soak are for.
+//! Message loss and clock skew are not simulated; the history tests of `trefoil-core` and the
+//! soak test cover them.
 
 pub mod arrivals;
 pub mod bound;
-pub mod figures;
 pub mod pattern;
 pub mod plot;
-pub mod worker;
-pub mod world;
+pub mod simulation;
+pub mod stats;
+mod worker;
--- a/crates/replay/src/pattern.rs
+++ b/crates/replay/src/pattern.rs
@@ -1,20 +1,17 @@
-//! Load patterns as data.
+//! Load patterns.
 
-/// The workers of a deployment.
+/// Numbers of pools, workers and entry instances of a deployment.
+#[expect(missing_docs, reason = "the fields explain themselves")]
 #[derive(Clone, Copy, Debug)]
-pub struct Fleet {
-    /// Failure domains.
+pub struct Topology {
     pub domains: u32,
-    /// Pools in each failure domain.
     pub pools_per_domain: u32,
-    /// Workers in each pool.
     pub workers_per_pool: u32,
-    /// Entry instances in each failure domain.
     pub entries_per_domain: u32,
 }
 
-impl Default for Fleet {
-    /// Two thirds of its room are taken by [`classes`] as they usually come.
+impl Default for Topology {
+    /// Two thirds of its capacity are used by [`default_classes`] at their base rates.
     fn default() -> Self {
         Self {
             domains: 3,
@@ -25,108 +22,106 @@
     }
 }
 
-/// Jobs of one queue.
+/// Jobs with the same priority and size distribution.
 #[derive(Clone, Debug)]
-pub struct Class {
-    /// Name, for tables.
+pub struct JobClass {
+    /// Name in tables.
     pub name: &'static str,
-    /// As declared: 0 comes first.
+    /// Dispatch priority; 0 is the highest.
     pub priority: u32,
-    /// Jobs a second that usually come to the whole deployment.
-    pub usual_per_s: f64,
-    /// Mean number of tasks in a job.
+    /// Arrival rate at the whole deployment without disturbances, in jobs per second.
+    pub base_rate_per_s: f64,
+    /// Mean number of tasks per job.
     pub tasks_mean: f64,
-    /// Mean run time of a task.
+    /// Mean run time of a task on a standard worker.
     pub run_mean_ms: f64,
 }
 
-/// Something that makes the load unusual.
+/// A deviation from the base load. Times count from the first possible arrival.
 #[derive(Clone, Copy, Debug)]
-pub enum Change {
-    /// More jobs of one class, or of all.
+pub enum Disturbance {
+    /// A higher arrival rate of one class, or of all.
     Burst {
-        /// Position of the class; none for all.
+        /// Position of the class; `None` for all.
         class: Option<usize>,
-        /// Times the usual rate.
+        /// Factor on the base rate.
         factor: f64,
-        /// Begin.
+        /// Start time.
         from_ms: u64,
-        /// End.
+        /// End time, exclusive.
         to_ms: u64,
     },
-    /// Callers that leave before their answer.
-    Impatience {
+    /// Callers that give up before their answer.
+    Abandonment {
         /// Share of callers.
         share: f64,
-        /// When they leave, after their request.
+        /// Time from the request until the caller gives up.
         after_ms: u64,
-        /// Begin.
+        /// Start time.
         from_ms: u64,
-        /// End.
+        /// End time, exclusive.
         to_ms: u64,
     },
-    /// Jobs that fail each time that they run.
-    Hopeless {
+    /// Jobs whose tasks fail on every attempt.
+    AlwaysFailing {
         /// Share of jobs.
         share: f64,
-        /// Begin.
+        /// Start time.
         from_ms: u64,
-        /// End.
+        /// End time, exclusive.
         to_ms: u64,
     },
     /// Callers of the first failure domain that move to the second.
-    Shift {
-        /// Share of them.
+    CallersMove {
+        /// Share of the callers.
         share: f64,
-        /// Begin.
+        /// Start time.
         from_ms: u64,
-        /// End.
+        /// End time, exclusive.
         to_ms: u64,
     },
-    /// Workers that announce that they leave, and do so 4 s later.
-    Leave {
+    /// Workers that announce their drain and exit 4 s later.
+    WorkersLeave {
         /// Share of all workers.
         share: f64,
-        /// When they announce it.
+        /// Time of the announcement.
         at_ms: u64,
     },
-    /// Empty workers added to every pool of the first failure domain.
-    Join {
-        /// Workers for each pool.
+    /// Idle workers added to every pool of the first failure domain.
+    WorkersJoin {
+        /// New workers per pool.
         workers: u32,
-        /// When they register.
+        /// Time of their registration.
         at_ms: u64,
     },
-    /// Orders to workers get no answer, and are not carried out in time.
+    /// Orders to workers get no answer and have no effect.
     Unanswered {
         /// Share of orders.
         share: f64,
-        /// Begin.
+        /// Start time.
         from_ms: u64,
-        /// End.
+        /// End time, exclusive.
         to_ms: u64,
     },
-    /// No entry can be reached: what would have come comes at the end, together.
+    /// No entry can be reached; jobs that arrive meanwhile are all submitted at its end.
     Outage {
-        /// Begin.
+        /// Start time.
         from_ms: u64,
-        /// End.
+        /// End time, exclusive.
         to_ms: u64,
     },
 }
 
-/// What refused callers do.
+/// What callers do after a refusal.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Returning {
-    /// They do not come back.
+pub enum RetryPolicy {
+    /// They do not retry.
     Never,
-    /// They come back once, when they were told to.
-    AsTold,
-    /// They come back once, after the same time all: to compare with.
-    After {
-        /// That time.
-        wait_ms: u64,
-    },
+    /// They retry once, after the delay that the refusal names.
+    HonorRetryAfter,
+    /// They retry once, after the same delay for all.
+    #[expect(missing_docs, reason = "the field explains itself")]
+    FixedDelay { wait_ms: u64 },
 }
 
 /// A load pattern.
@@ -134,38 +129,38 @@
 pub struct Pattern {
     /// Name on the command line.
     pub name: &'static str,
-    /// The workers.
-    pub fleet: Fleet,
-    /// The classes of jobs.
-    pub classes: Vec<Class>,
-    /// What is unusual.
-    pub changes: Vec<Change>,
-    /// What refused callers do.
-    pub returning: Returning,
-    /// How long jobs come.
-    pub length_ms: u64,
+    /// Size of the deployment.
+    pub topology: Topology,
+    /// The job classes.
+    pub classes: Vec<JobClass>,
+    /// Deviations from the base load.
+    pub disturbances: Vec<Disturbance>,
+    /// What callers do after a refusal.
+    pub retry_policy: RetryPolicy,
+    /// Time during which jobs arrive.
+    pub duration_ms: u64,
 }
 
 impl Default for Pattern {
     fn default() -> Self {
         Self {
             name: "calm",
-            fleet: Fleet::default(),
-            classes: classes(1.0),
-            changes: Vec::new(),
-            returning: Returning::Never,
-            length_ms: 10_000,
+            topology: Topology::default(),
+            classes: default_classes(1.0),
+            disturbances: Vec::new(),
+            retry_policy: RetryPolicy::Never,
+            duration_ms: 10_000,
         }
     }
 }
 
-/// A wide and short class, a long one, and a small one, which takes as much as
-/// both of them; `share` is that of their traffic in a fleet of 240 workers.
-fn classes(share: f64) -> Vec<Class> {
-    let class = |name, priority, usual_per_s, tasks_mean, run_mean_ms| Class {
+/// A class of wide and short jobs, one of long jobs, and one of small jobs that needs as much
+/// capacity as both others; `share` scales the rates relative to a deployment of 240 workers.
+fn default_classes(share: f64) -> Vec<JobClass> {
+    let class = |name, priority, base_rate_per_s, tasks_mean, run_mean_ms| JobClass {
         name,
         priority,
-        usual_per_s: usual_per_s * share,
+        base_rate_per_s: base_rate_per_s * share,
         tasks_mean,
         run_mean_ms,
     };
@@ -178,24 +173,24 @@
 
 /// All named patterns.
 pub fn all() -> Vec<Pattern> {
-    let burst = |class, factor, from_ms, to_ms| Change::Burst {
+    let burst = |class, factor, from_ms, to_ms| Disturbance::Burst {
         class,
         factor,
         from_ms,
         to_ms,
     };
-    let unanswered = |share| Change::Unanswered {
+    let unanswered = |share| Disturbance::Unanswered {
         share,
         from_ms: 1000,
         to_ms: 9000,
     };
-    let returning = |pattern| Pattern {
-        returning: Returning::AsTold,
+    let with_retries = |pattern| Pattern {
+        retry_policy: RetryPolicy::HonorRetryAfter,
         ..pattern
     };
-    let pattern = |name, changes| Pattern {
+    let pattern = |name, disturbances| Pattern {
         name,
-        changes,
+        disturbances,
         ..Pattern::default()
     };
     vec![
@@ -209,7 +204,7 @@
             "burst-leaving",
             vec![
                 burst(None, 2.0, 2000, 8000),
-                Change::Leave {
+                Disturbance::WorkersLeave {
                     share: 0.25,
                     at_ms: 3000,
                 },
@@ -219,7 +214,7 @@
             "impatient",
             vec![
                 burst(None, 2.5, 2000, 7000),
-                Change::Impatience {
+                Disturbance::Abandonment {
                     share: 0.4,
                     after_ms: 150,
                     from_ms: 2000,
@@ -231,7 +226,7 @@
             "hopeless",
             vec![
                 burst(None, 2.0, 2000, 7000),
-                Change::Hopeless {
+                Disturbance::AlwaysFailing {
                     share: 0.1,
                     from_ms: 2000,
                     to_ms: 7000,
@@ -240,7 +235,7 @@
         ),
         pattern(
             "shift",
-            vec![Change::Shift {
+            vec![Disturbance::CallersMove {
                 share: 0.8,
                 from_ms: 2000,
                 to_ms: 8000,
@@ -250,20 +245,20 @@
             "join",
             vec![
                 burst(None, 2.0, 1000, 9000),
-                Change::Join {
+                Disturbance::WorkersJoin {
                     workers: 30,
                     at_ms: 4000,
                 },
             ],
         ),
-        returning(pattern("returning", vec![burst(None, 2.5, 2000, 7000)])),
-        small(pattern("small-burst", vec![burst(None, 2.5, 2000, 7000)])),
-        small(pattern("small-edge", vec![burst(None, 1.3, 1000, 9000)])),
+        with_retries(pattern("returning", vec![burst(None, 2.5, 2000, 7000)])),
+        in_small_deployment(pattern("small-burst", vec![burst(None, 2.5, 2000, 7000)])),
+        in_small_deployment(pattern("small-edge", vec![burst(None, 1.3, 1000, 9000)])),
         pattern("unanswered", vec![unanswered(0.2)]),
         pattern("unanswered-half", vec![unanswered(0.5)]),
         pattern(
             "recovery",
-            vec![Change::Outage {
+            vec![Disturbance::Outage {
                 from_ms: 3000,
                 to_ms: 4500,
             }],
@@ -271,21 +266,21 @@
     ]
 }
 
-/// The same in a fifth of the workers, one pool to a failure domain.
-fn small(pattern: Pattern) -> Pattern {
-    let fleet = Fleet {
+/// The pattern at a fifth of the size, with one pool per failure domain.
+fn in_small_deployment(pattern: Pattern) -> Pattern {
+    let topology = Topology {
         pools_per_domain: 1,
         workers_per_pool: 16,
-        ..Fleet::default()
+        ..Topology::default()
     };
     Pattern {
-        fleet,
-        classes: classes(0.2),
+        topology,
+        classes: default_classes(0.2),
         ..pattern
     }
 }
 
-/// A pattern by its name.
-pub fn named(name: &str) -> Option<Pattern> {
+/// Finds a pattern by its name.
+pub fn find(name: &str) -> Option<Pattern> {
     all().into_iter().find(|pattern| pattern.name == name)
 }
--- a/crates/replay/src/world.rs
+++ b/crates/replay/src/simulation.rs
@@ -1,12 +1,12 @@
-//! The events of a replay, and what callers are told.
+//! Discrete-event simulation of a deployment in virtual time.
 //!
-//! * [`callers`]: their requests, and who comes back.
-//! * [`fleet`]: the workers and their room.
-//! * [`orders`]: what the workers do with orders.
+//! * [`callers`]: requests, answers and retries.
+//! * [`orders`]: how workers carry out orders, and their answers.
+//! * [`topology`]: pools, workers and their capacity.
 
 mod callers;
-mod fleet;
 mod orders;
+mod topology;
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap, HashMap};
@@ -25,30 +25,30 @@
 use xxhash_rust::xxh3::xxh3_64;
 
 use crate::arrivals::Arrival;
-use crate::figures::Seen;
-use crate::pattern::{Change, Pattern};
+use crate::pattern::{Disturbance, Pattern};
+use crate::stats::CallerOutcome;
 use crate::worker::Worker;
-use callers::Visit;
-pub use callers::{Played, Returned};
-pub use fleet::room_at;
+use callers::Attempt;
+pub use callers::{ReplayOutcomes, RetryOutcome};
+pub use topology::capacity_at;
 
-/// One way between two instances, or an instance and a worker.
-const PATH_MS: u64 = 1;
-/// Period of the ticks of entries and owners.
+/// One-way latency between two instances, or an instance and a worker.
+const ONE_WAY_MS: u64 = 1;
+/// Tick interval of entries and owners.
 const TICK_MS: u64 = 25;
-/// Period at which owners read the registry.
-const REGISTRY_MS: u64 = 700;
-/// A worker that announces that it leaves does so after this time.
-const LEAVING_MS: u64 = 4000;
-/// Before this instant owners fence their workers; jobs come after it.
-const START_MS: u64 = 1000;
-/// Time after the last job, for all to end.
-const END_MS: u64 = 12_000;
+/// Interval at which owners read the worker registry.
+const REGISTRY_POLL_MS: u64 = 700;
+/// Time from a worker's drain announcement to its exit.
+const WORKER_DRAIN_MS: u64 = 4000;
+/// Virtual time of the first request; before it, owners fence their workers.
+const WARM_UP_MS: u64 = 1000;
+/// Time after the last arrival in which outstanding jobs can end.
+const COOL_DOWN_MS: u64 = 12_000;
 
 #[derive(Debug)]
 enum Event {
-    Request(Visit),
-    CallerLeaves(Visit),
+    Request(Attempt),
+    CallerAbandons(Attempt),
     Delegate {
         entry: usize,
         pool: usize,
@@ -60,7 +60,7 @@
         pool: usize,
         job_id: String,
     },
-    Ended {
+    JobEnded {
         entry: usize,
         pool: usize,
         ending: owner::Ending,
@@ -73,7 +73,7 @@
         pool: usize,
         order: StopOrder,
     },
-    Hold {
+    Renew {
         pool: usize,
         order: HoldOrder,
     },
@@ -85,7 +85,7 @@
         pool: usize,
         answered: Answered,
     },
-    HoldAnswer {
+    RenewAnswer {
         pool: usize,
         worker: WorkerKey,
         fence: Fence,
@@ -98,37 +98,36 @@
         run_id: u64,
         how: EndKind,
     },
-    HoldWaited {
+    RenewWaitEnds {
         worker: usize,
         number: u64,
     },
     Tick,
-    Beat,
-    Registry,
-    Leave {
+    Heartbeat,
+    RegistryPoll,
+    WorkerLeaves {
         worker: usize,
     },
-    Gone {
+    WorkerGone {
         worker: usize,
     },
-    Join {
+    WorkersJoin {
         workers: u32,
     },
 }
 
-/// A deployment in virtual time.
-pub struct World<'a> {
+struct Simulation<'a> {
     pattern: &'a Pattern,
     arrivals: &'a [Arrival],
-    played: Played,
+    outcomes: ReplayOutcomes,
     now_ms: u64,
     end_ms: u64,
     queue: BinaryHeap<Reverse<(u64, usize)>>,
     events: HashMap<usize, Event>,
     next_event: usize,
-    next_hold: u64,
-    /// Orders that have reached workers or were lost.
-    orders: u64,
+    next_renewal: u64,
+    /// Number of orders delivered or lost so far.
+    orders_sent: u64,
     entries: Vec<Entry>,
     owners: Vec<Owner>,
     pools: Vec<String>,
@@ -138,30 +137,30 @@
     worker_pools: Vec<usize>,
 }
 
-/// Replays jobs under a policy; what became of each of them.
-pub fn run(pattern: &Pattern, arrivals: &[Arrival], settings: owner::Settings) -> Played {
-    let mut world = World::new(pattern, arrivals, settings);
-    world.run();
-    world.played
+/// Replays the arrivals with the given owner settings.
+pub fn run(pattern: &Pattern, arrivals: &[Arrival], settings: owner::Settings) -> ReplayOutcomes {
+    let mut simulation = Simulation::new(pattern, arrivals, settings);
+    simulation.run();
+    simulation.outcomes
 }
 
-impl<'a> World<'a> {
+impl<'a> Simulation<'a> {
     fn new(pattern: &'a Pattern, arrivals: &'a [Arrival], settings: owner::Settings) -> Self {
-        let fleet = pattern.fleet;
-        let mut world = Self {
+        let topology = pattern.topology;
+        let mut simulation = Self {
             pattern,
             arrivals,
-            played: Played {
-                seen: vec![Seen::Left; arrivals.len()],
-                returned: vec![None; arrivals.len()],
+            outcomes: ReplayOutcomes {
+                first_attempts: vec![CallerOutcome::Abandoned; arrivals.len()],
+                retries: vec![None; arrivals.len()],
             },
             now_ms: 0,
-            end_ms: START_MS + pattern.length_ms + END_MS,
+            end_ms: WARM_UP_MS + pattern.duration_ms + COOL_DOWN_MS,
             queue: BinaryHeap::new(),
             events: HashMap::new(),
             next_event: 0,
-            next_hold: 0,
-            orders: 0,
+            next_renewal: 0,
+            orders_sent: 0,
             entries: Vec::new(),
             owners: Vec::new(),
             pools: Vec::new(),
@@ -170,33 +169,33 @@
             worker_positions: HashMap::new(),
             worker_pools: Vec::new(),
         };
-        for domain in 0..fleet.domains {
-            world.add_domain(domain, fleet, settings);
+        for domain in 0..topology.domains {
+            simulation.add_domain(domain, topology, settings);
         }
-        world.schedule();
-        world
+        simulation.schedule_initial_events();
+        simulation
     }
 
-    fn schedule(&mut self) {
-        self.at(0, Event::Registry);
-        self.at(0, Event::Tick);
-        self.at(BEAT_MS, Event::Beat);
+    fn schedule_initial_events(&mut self) {
+        self.schedule_at(0, Event::RegistryPoll);
+        self.schedule_at(0, Event::Tick);
+        self.schedule_at(BEAT_MS, Event::Heartbeat);
         for (index, arrival) in self.arrivals.iter().enumerate() {
-            let visit = Visit::first(index);
-            self.at(START_MS + arrival.at_ms, Event::Request(visit));
-            let leaves_ms = START_MS + arrival.leaves_ms.max(arrival.at_ms);
-            self.at(leaves_ms, Event::CallerLeaves(visit));
+            let attempt = Attempt::first(index);
+            self.schedule_at(WARM_UP_MS + arrival.at_ms, Event::Request(attempt));
+            let abandons_ms = WARM_UP_MS + arrival.abandons_ms.max(arrival.at_ms);
+            self.schedule_at(abandons_ms, Event::CallerAbandons(attempt));
         }
-        for change in &self.pattern.changes {
-            match *change {
-                Change::Join { workers, at_ms } => {
-                    self.at(START_MS + at_ms, Event::Join { workers });
+        for disturbance in &self.pattern.disturbances {
+            match *disturbance {
+                Disturbance::WorkersJoin { workers, at_ms } => {
+                    self.schedule_at(WARM_UP_MS + at_ms, Event::WorkersJoin { workers });
                 }
-                Change::Leave { share, at_ms } => {
+                Disturbance::WorkersLeave { share, at_ms } => {
                     let leaving = (self.workers.len() as f64 * share) as usize;
                     let stride = self.workers.len() / leaving.max(1);
                     for worker in (0..self.workers.len()).step_by(stride.max(1)).take(leaving) {
-                        self.at(START_MS + at_ms, Event::Leave { worker });
+                        self.schedule_at(WARM_UP_MS + at_ms, Event::WorkerLeaves { worker });
                     }
                 }
                 _ => {}
@@ -204,33 +203,33 @@
         }
     }
 
-    /// Whether an order is left unanswered; `draw` tells orders apart.
-    fn is_unanswered(&self, draw: u64) -> bool {
-        let now_ms = self.now_ms.saturating_sub(START_MS);
-        let shares = self
-            .pattern
-            .changes
-            .iter()
-            .filter_map(|change| match *change {
-                Change::Unanswered {
-                    share,
-                    from_ms,
-                    to_ms,
-                } if (from_ms..to_ms).contains(&now_ms) => Some(share),
-                _ => None,
-            });
-        let unit = (xxh3_64(&draw.to_le_bytes()) >> 11) as f64 / (1_u64 << 53) as f64;
+    /// Whether the order with this number gets no answer; deterministic for each number.
+    fn is_unanswered(&self, order_number: u64) -> bool {
+        let now_ms = self.now_ms.saturating_sub(WARM_UP_MS);
+        let shares =
+            self.pattern
+                .disturbances
+                .iter()
+                .filter_map(|disturbance| match *disturbance {
+                    Disturbance::Unanswered {
+                        share,
+                        from_ms,
+                        to_ms,
+                    } if (from_ms..to_ms).contains(&now_ms) => Some(share),
+                    _ => None,
+                });
+        let unit = (xxh3_64(&order_number.to_le_bytes()) >> 11) as f64 / (1_u64 << 53) as f64;
         unit < shares.sum()
     }
 
-    fn at(&mut self, at_ms: u64, event: Event) {
+    fn schedule_at(&mut self, at_ms: u64, event: Event) {
         self.events.insert(self.next_event, event);
         self.queue.push(Reverse((at_ms, self.next_event)));
         self.next_event += 1;
     }
 
-    fn after(&mut self, delay_ms: u64, event: Event) {
-        self.at(self.now_ms + delay_ms, event);
+    fn schedule_after(&mut self, delay_ms: u64, event: Event) {
+        self.schedule_at(self.now_ms + delay_ms, event);
     }
 
     fn run(&mut self) {
@@ -240,18 +239,18 @@
             }
             self.now_ms = at_ms;
             if let Some(event) = self.events.remove(&number) {
-                self.happen(event);
+                self.handle(event);
             }
         }
     }
 
-    fn happen(&mut self, event: Event) {
+    fn handle(&mut self, event: Event) {
         match event {
-            Event::Request(visit) => self.request(visit),
-            Event::CallerLeaves(visit) => {
-                let entry = self.entry_of(visit.job);
+            Event::Request(attempt) => self.submit(attempt),
+            Event::CallerAbandons(attempt) => {
+                let entry = self.entry_of(attempt.job);
                 self.with_entry(entry, |entry, _, out| {
-                    entry.caller_left(visit.ticket(), out);
+                    entry.caller_left(attempt.ticket(), out);
                 });
             }
             Event::Delegate {
@@ -270,26 +269,26 @@
             } => self.with_owner(pool, |owner, now_ms, out| {
                 owner.cancel(now_ms, Origin::Link(entry as u64), &job_id, out);
             }),
-            Event::Ended {
+            Event::JobEnded {
                 entry,
                 pool,
                 ending,
             } => {
-                let from = self.owned(pool);
+                let from = self.owner_of(pool);
                 self.with_entry(entry, |entry, now_ms, out| {
                     entry.ended(now_ms, &from, &ending, out);
                 });
             }
-            Event::Start { pool, order } => self.start(pool, order),
-            Event::Stop { pool, order } => self.stop(pool, order),
-            Event::Hold { pool, order } => self.hold(pool, order),
+            Event::Start { pool, order } => self.on_start(pool, order),
+            Event::Stop { pool, order } => self.on_stop(pool, order),
+            Event::Renew { pool, order } => self.on_renew(pool, order),
             Event::StartAnswer { pool, answered } => self.with_owner(pool, |owner, now_ms, out| {
                 owner.start_answered(now_ms, &answered, out);
             }),
             Event::StopAnswer { pool, answered } => self.with_owner(pool, |owner, now_ms, out| {
                 owner.stop_answered(now_ms, &answered, out);
             }),
-            Event::HoldAnswer {
+            Event::RenewAnswer {
                 pool,
                 worker,
                 fence,
@@ -304,38 +303,38 @@
                 run_id,
                 how,
             } => {
-                if self.workers[worker].end(&task, run_id, how) {
-                    self.answer_waiting(worker);
+                if self.workers[worker].finish_run(&task, run_id, how) {
+                    self.answer_pending_renewal(worker);
                 }
             }
-            Event::HoldWaited { worker, number } => {
-                let waiting = self.workers[worker].waiting.as_ref();
-                if waiting.is_some_and(|hold| hold.number == number) {
-                    self.answer_waiting(worker);
+            Event::RenewWaitEnds { worker, number } => {
+                let pending = self.workers[worker].pending_renewal.as_ref();
+                if pending.is_some_and(|renewal| renewal.number == number) {
+                    self.answer_pending_renewal(worker);
                 }
             }
             Event::Tick => self.tick(),
-            Event::Beat => self.beat(),
-            Event::Registry => {
-                self.after(REGISTRY_MS, Event::Registry);
-                self.read_registry();
+            Event::Heartbeat => self.send_heartbeats(),
+            Event::RegistryPoll => {
+                self.schedule_after(REGISTRY_POLL_MS, Event::RegistryPoll);
+                self.poll_registry();
             }
-            Event::Leave { worker } => {
+            Event::WorkerLeaves { worker } => {
                 self.workers[worker].record.draining = true;
-                self.after(LEAVING_MS, Event::Gone { worker });
+                self.schedule_after(WORKER_DRAIN_MS, Event::WorkerGone { worker });
             }
-            Event::Gone { worker } => self.workers[worker].up = false,
-            Event::Join { workers } => {
-                for pool in 0..self.pattern.fleet.pools_per_domain as usize {
+            Event::WorkerGone { worker } => self.workers[worker].up = false,
+            Event::WorkersJoin { workers } => {
+                for pool in 0..self.pattern.topology.pools_per_domain as usize {
                     (0..workers).for_each(|index| self.add_worker(pool, index));
                 }
             }
         }
     }
 
-    /// The claim of a pool's owner, which keeps it for the whole replay.
-    fn claim(&self, pool: usize) -> Claim {
-        let Owned { pool, owner } = self.owned(pool);
+    /// The owner's claim on a pool, which is the same for the whole replay.
+    fn claim_on(&self, pool: usize) -> Claim {
+        let Owned { pool, owner } = self.owner_of(pool);
         let domain = pool.split('/').next().unwrap_or("").to_owned();
         let owner = Node {
             name: owner,
@@ -349,7 +348,7 @@
         }
     }
 
-    fn owned(&self, pool: usize) -> Owned {
+    fn owner_of(&self, pool: usize) -> Owned {
         Owned {
             pool: self.pools[pool].clone(),
             owner: format!("owner-{pool}"),
@@ -364,11 +363,11 @@
         let mut out = Vec::new();
         event(&mut self.entries[entry], self.now_ms, &mut out);
         for command in out {
-            self.carry_out_entry(entry, command);
+            self.execute_entry_command(entry, command);
         }
     }
 
-    fn carry_out_entry(&mut self, entry: usize, command: entry::Command) {
+    fn execute_entry_command(&mut self, entry: usize, command: entry::Command) {
         match command {
             entry::Command::Delegate {
                 to,
@@ -378,8 +377,8 @@
             } => {
                 let pool = self.pool_positions[&to.pool];
                 let spec = Box::new(spec);
-                self.after(
-                    PATH_MS,
+                self.schedule_after(
+                    ONE_WAY_MS,
                     Event::Delegate {
                         entry,
                         pool,
@@ -390,8 +389,8 @@
             }
             entry::Command::Cancel { to, job_id } => {
                 let pool = self.pool_positions[&to.pool];
-                self.after(
-                    PATH_MS,
+                self.schedule_after(
+                    ONE_WAY_MS,
                     Event::Cancel {
                         entry,
                         pool,
@@ -401,18 +400,18 @@
             }
             entry::Command::Revoked { .. } => {}
             entry::Command::Answer { ticket, answer } => {
-                let at_ms = self.now_ms - START_MS;
-                let seen = match answer {
-                    Answer::Completed => Seen::Completed { at_ms },
-                    Answer::NotRun { retry_after_ms, .. } => Seen::Refused {
+                let at_ms = self.now_ms - WARM_UP_MS;
+                let outcome = match answer {
+                    Answer::Completed => CallerOutcome::Completed { at_ms },
+                    Answer::NotRun { retry_after_ms, .. } => CallerOutcome::Refused {
                         at_ms,
                         retry_after_ms,
                     },
                     Answer::Failed | Answer::MayHaveRun { .. } | Answer::OtherJob => {
-                        Seen::Failed { at_ms }
+                        CallerOutcome::Failed { at_ms }
                     }
                 };
-                self.answered(Visit::of_ticket(ticket), seen);
+                self.on_answer(Attempt::from_ticket(ticket), outcome);
             }
         }
     }
@@ -425,26 +424,32 @@
         let mut out = Vec::new();
         event(&mut self.owners[pool], self.now_ms, &mut out);
         for command in out {
-            self.carry_out_owner(pool, command);
+            self.execute_owner_command(pool, command);
         }
     }
 
-    fn carry_out_owner(&mut self, pool: usize, command: owner::Command) {
+    fn execute_owner_command(&mut self, pool: usize, command: owner::Command) {
         match command {
-            owner::Command::Start(order) => self.after(PATH_MS, Event::Start { pool, order }),
-            owner::Command::Stop(order) => self.after(PATH_MS, Event::Stop { pool, order }),
-            owner::Command::Hold(order) => self.after(PATH_MS, Event::Hold { pool, order }),
+            owner::Command::Start(order) => {
+                self.schedule_after(ONE_WAY_MS, Event::Start { pool, order })
+            }
+            owner::Command::Stop(order) => {
+                self.schedule_after(ONE_WAY_MS, Event::Stop { pool, order })
+            }
+            owner::Command::Hold(order) => {
+                self.schedule_after(ONE_WAY_MS, Event::Renew { pool, order })
+            }
             owner::Command::Ended {
                 origin: Origin::Link(entry),
                 ending,
                 ..
             } => {
-                let ended = Event::Ended {
+                let job_ended = Event::JobEnded {
                     entry: entry as usize,
                     pool,
                     ending,
                 };
-                self.after(PATH_MS, ended);
+                self.schedule_after(ONE_WAY_MS, job_ended);
             }
             owner::Command::Ended { .. } => {}
             owner::Command::Outranked | owner::Command::Note(_) => {}
@@ -452,7 +457,7 @@
     }
 
     fn tick(&mut self) {
-        self.after(TICK_MS, Event::Tick);
+        self.schedule_after(TICK_MS, Event::Tick);
         for pool in 0..self.owners.len() {
             self.with_owner(pool, |owner, now_ms, out| owner.tick(now_ms, out));
         }
@@ -461,11 +466,11 @@
         }
     }
 
-    fn beat(&mut self) {
-        self.after(BEAT_MS, Event::Beat);
+    fn send_heartbeats(&mut self) {
+        self.schedule_after(BEAT_MS, Event::Heartbeat);
         for pool in 0..self.owners.len() {
             let load = self.owners[pool].load(self.now_ms);
-            let claim = self.claim(pool);
+            let claim = self.claim_on(pool);
             for entry in 0..self.entries.len() {
                 self.with_entry(entry, |entry, now_ms, out| {
                     entry.pool_seen(now_ms, &claim, load, out);
@@ -474,7 +479,7 @@
         }
     }
 
-    fn read_registry(&mut self) {
+    fn poll_registry(&mut self) {
         let mut records: BTreeMap<usize, Vec<WorkerRecord>> = BTreeMap::new();
         for (position, worker) in self.workers.iter().enumerate() {
             if worker.up {
--- /dev/null
+++ b/crates/replay/src/simulation/orders.rs
@@ -0,0 +1,143 @@
+//! How workers carry out orders, and their answers.
+
+use trefoil_core::dispatch::limits::HOLD_WAIT_MS;
+use trefoil_core::dispatch::order::{
+    EndKind, HoldOrder, HoldOutcome, OrderOutcome, Rejection, StartOrder, StopOrder,
+};
+use trefoil_core::dispatch::owner::Answered;
+
+use super::{Event, ONE_WAY_MS, Simulation};
+use crate::worker::PendingRenewal;
+
+impl Simulation<'_> {
+    fn position_of_worker(&self, id: &str) -> usize {
+        self.worker_positions[id]
+    }
+
+    pub(super) fn on_start(&mut self, pool: usize, order: StartOrder) {
+        let worker = self.position_of_worker(&order.target.worker_id);
+        self.orders_sent += 1;
+        if self.is_unanswered(self.orders_sent) {
+            // The worker would reject the late order because its fencing token is superseded.
+            let answered = answered_start(&order, OrderOutcome::NoAnswer);
+            return self.schedule_after(order.answer_ms, Event::StartAnswer { pool, answered });
+        }
+        let outcome = match self.workers[worker].up && self.workers[worker].start_run(&order) {
+            true => {
+                self.schedule_run_end(worker, &order);
+                OrderOutcome::Done {
+                    clock_ms: self.now_ms,
+                }
+            }
+            false => OrderOutcome::Rejected(Rejection::Unhealthy),
+        };
+        let answered = answered_start(&order, outcome);
+        self.schedule_after(ONE_WAY_MS, Event::StartAnswer { pool, answered });
+    }
+
+    fn schedule_run_end(&mut self, worker: usize, order: &StartOrder) {
+        let (job, index) = parse_task_name(&order.task);
+        let arrival = &self.arrivals[job];
+        let run_ms = arrival.run_times_ms[index] as f64 * self.workers[worker].slowdown;
+        let how = if arrival.always_fails {
+            EndKind::Failed
+        } else {
+            EndKind::Done
+        };
+        let run_ends = Event::RunEnds {
+            worker,
+            task: order.task.clone(),
+            run_id: order.run_id,
+            how,
+        };
+        self.schedule_after(run_ms as u64, run_ends);
+    }
+
+    pub(super) fn on_stop(&mut self, pool: usize, order: StopOrder) {
+        let worker = self.position_of_worker(&order.target.worker_id);
+        if self.workers[worker].finish_run(&order.task, order.run_id, EndKind::Stopped) {
+            self.answer_pending_renewal(worker);
+        }
+        let answered = Answered {
+            worker: order.target.worker,
+            fence: order.target.fence,
+            task: order.task,
+            run_id: order.run_id,
+            outcome: OrderOutcome::Done {
+                clock_ms: self.now_ms,
+            },
+        };
+        self.schedule_after(ONE_WAY_MS, Event::StopAnswer { pool, answered });
+    }
+
+    pub(super) fn on_renew(&mut self, pool: usize, order: HoldOrder) {
+        let worker = self.position_of_worker(&order.target.worker_id);
+        self.orders_sent += 1;
+        if !self.workers[worker].up || self.is_unanswered(self.orders_sent) {
+            return self.answer_renewal(pool, &order, HoldOutcome::NoAnswer);
+        }
+        self.workers[worker].apply_renewal(&order);
+        if order.wait_ms > 0 && self.workers[worker].has_no_finished_runs() {
+            let number = self.next_renewal;
+            self.next_renewal += 1;
+            let wait_ms = order.wait_ms.min(HOLD_WAIT_MS);
+            self.workers[worker].pending_renewal = Some(PendingRenewal { order, number });
+            return self.schedule_after(wait_ms, Event::RenewWaitEnds { worker, number });
+        }
+        let listing = self.workers[worker].listing(self.now_ms);
+        self.answer_renewal(pool, &order, listing);
+    }
+
+    pub(super) fn answer_pending_renewal(&mut self, worker: usize) {
+        if let Some(renewal) = self.workers[worker].pending_renewal.take() {
+            let pool = self.worker_pools[worker];
+            let listing = self.workers[worker].listing(self.now_ms);
+            self.answer_renewal(pool, &renewal.order, listing);
+        }
+    }
+
+    fn answer_renewal(&mut self, pool: usize, order: &HoldOrder, outcome: HoldOutcome) {
+        let answer = Event::RenewAnswer {
+            pool,
+            worker: order.target.worker,
+            fence: order.target.fence,
+            number: order.number,
+            outcome,
+        };
+        let delay_ms = match is_unanswered_renewal(&answer) {
+            true => order.wait_ms + order.answer_ms,
+            false => ONE_WAY_MS,
+        };
+        self.schedule_after(delay_ms, answer);
+    }
+}
+
+fn answered_start(order: &StartOrder, outcome: OrderOutcome) -> Answered {
+    Answered {
+        worker: order.target.worker,
+        fence: order.target.fence,
+        task: order.task.clone(),
+        run_id: order.run_id,
+        outcome,
+    }
+}
+
+fn is_unanswered_renewal(answer: &Event) -> bool {
+    matches!(
+        answer,
+        Event::RenewAnswer {
+            outcome: HoldOutcome::NoAnswer,
+            ..
+        }
+    )
+}
+
+/// Position of the job and index of the task in a task name.
+fn parse_task_name(task: &str) -> (usize, usize) {
+    let mut parts = task.split('.');
+    let job = parts
+        .next()
+        .and_then(|id| usize::from_str_radix(id, 16).ok());
+    let index = parts.next_back().and_then(|index| index.parse().ok());
+    (job.unwrap_or(0), index.unwrap_or(0))
+}
--- a/crates/replay/src/world/fleet.rs
+++ b/crates/replay/src/simulation/topology.rs
@@ -1,4 +1,4 @@
-//! The workers of a pattern, and their room.
+//! Pools, workers and their capacity.
 
 use std::sync::Arc;
 
@@ -8,37 +8,42 @@
 use trefoil_core::dispatch::pool;
 use trefoil_core::dispatch::worker::{Room, WorkerRecord};
 
-use super::{LEAVING_MS, World};
-use crate::pattern::{Change, Fleet, Pattern};
+use super::{Simulation, WORKER_DRAIN_MS};
+use crate::pattern::{Disturbance, Pattern, Topology};
 use crate::worker::Worker;
 
-/// Processor of a common worker, thousandths of a core.
+/// CPU capacity of a standard worker.
 const WORKER_MILLICORES: u64 = 16_000;
-/// Every third worker is of another kind: larger by this factor, ...
+/// Capacity of a large worker relative to a standard one; every third worker is large.
 const LARGE_FACTOR: f64 = 1.5;
-/// ... and slower by this one.
-const LARGE_SLOWNESS: f64 = 1.3;
+/// Factor on run times at a large worker.
+const LARGE_SLOWDOWN: f64 = 1.3;
 
-/// Room of the workers at an instant after the first request, thousandths of a
-/// core of common speed: for the bound.
-pub fn room_at(pattern: &Pattern, at_ms: u64) -> f64 {
-    let fleet = pattern.fleet;
-    let pools = fleet.domains * fleet.pools_per_domain;
-    let common = f64::from(pools) * pool_room(fleet.workers_per_pool);
-    let changed = pattern.changes.iter().map(|change| match *change {
-        Change::Leave { share, at_ms: from } if at_ms >= from + LEAVING_MS => -common * share,
-        Change::Join {
-            workers,
-            at_ms: from,
-        } if at_ms >= from => f64::from(fleet.pools_per_domain) * pool_room(workers),
-        _ => 0.0,
-    });
-    common + changed.sum::<f64>()
+/// Total capacity of the workers at a time after the first request, in millicores of a standard
+/// worker. Input of the [upper bound](crate::bound).
+pub fn capacity_at(pattern: &Pattern, at_ms: u64) -> f64 {
+    let topology = pattern.topology;
+    let pools = topology.domains * topology.pools_per_domain;
+    let initial = f64::from(pools) * pool_capacity(topology.workers_per_pool);
+    let changes = pattern
+        .disturbances
+        .iter()
+        .map(|disturbance| match *disturbance {
+            Disturbance::WorkersLeave { share, at_ms: from } if at_ms >= from + WORKER_DRAIN_MS => {
+                -initial * share
+            }
+            Disturbance::WorkersJoin {
+                workers,
+                at_ms: from,
+            } if at_ms >= from => f64::from(topology.pools_per_domain) * pool_capacity(workers),
+            _ => 0.0,
+        });
+    initial + changes.sum::<f64>()
 }
 
-fn pool_room(workers: u32) -> f64 {
-    let of = |index: u32| capacity_of(index) as f64 / slowness_of(index);
-    (0..workers).map(of).sum()
+fn pool_capacity(workers: u32) -> f64 {
+    let effective = |index: u32| capacity_of(index) as f64 / slowdown_of(index);
+    (0..workers).map(effective).sum()
 }
 
 fn is_large(index: u32) -> bool {
@@ -52,17 +57,17 @@
     }
 }
 
-fn slowness_of(index: u32) -> f64 {
-    if is_large(index) { LARGE_SLOWNESS } else { 1.0 }
+fn slowdown_of(index: u32) -> f64 {
+    if is_large(index) { LARGE_SLOWDOWN } else { 1.0 }
 }
 
-impl World<'_> {
-    pub(super) fn add_domain(&mut self, domain: u32, fleet: Fleet, settings: Settings) {
+impl Simulation<'_> {
+    pub(super) fn add_domain(&mut self, domain: u32, topology: Topology, settings: Settings) {
         let domain_name = format!("d{domain}");
-        for _ in 0..fleet.entries_per_domain {
+        for _ in 0..topology.entries_per_domain {
             self.entries.push(Entry::new(&domain_name));
         }
-        for index in 0..fleet.pools_per_domain {
+        for index in 0..topology.pools_per_domain {
             let position = self.pools.len();
             let name = pool::name(&domain_name, index);
             let fence = Fence::new(1, "owner");
@@ -70,7 +75,7 @@
             self.owners.push(owner);
             self.pool_positions.insert(name.clone(), position);
             self.pools.push(name);
-            for worker in 0..fleet.workers_per_pool {
+            for worker in 0..topology.workers_per_pool {
                 self.add_worker(position, worker);
             }
         }
@@ -94,7 +99,7 @@
             labels: [Arc::from(kind)].into_iter().collect(),
         };
         self.worker_positions.insert(id, position);
-        self.workers.push(Worker::new(record, slowness_of(index)));
+        self.workers.push(Worker::new(record, slowdown_of(index)));
         self.worker_pools.push(pool);
     }
 }
--- a/crates/replay/src/worker.rs
+++ b/crates/replay/src/worker.rs
@@ -1,4 +1,4 @@
-//! A simulated worker: it runs what it is told under fences and leases.
+//! A simulated worker: starts and stops runs under fencing tokens, and lists them.
 
 use std::collections::VecDeque;
 use std::sync::Arc;
@@ -9,49 +9,44 @@
 };
 use trefoil_core::dispatch::worker::WorkerRecord;
 
-/// A hold that waits for an end.
+/// A lease renewal whose answer waits for a run to end.
 #[derive(Clone, Debug)]
-pub struct WaitingHold {
-    /// The order.
+pub(crate) struct PendingRenewal {
     pub order: HoldOrder,
-    /// Tells one wait from another.
+    /// Unique number of the wait, so that a stale timeout is told apart.
     pub number: u64,
 }
 
-/// One worker.
 #[derive(Clone, Debug)]
-pub struct Worker {
-    /// Its registry entry.
+pub(crate) struct Worker {
     pub record: WorkerRecord,
     /// Factor on run times.
-    pub slowness: f64,
-    /// Whether it is there.
+    pub slowdown: f64,
+    /// False once it has left.
     pub up: bool,
-    /// The hold that waits, if any.
-    pub waiting: Option<WaitingHold>,
+    pub pending_renewal: Option<PendingRenewal>,
     runs: Vec<ListedRun>,
     ended: VecDeque<ListedEnd>,
-    ends: u64,
+    ended_count: u64,
     fence: Fence,
 }
 
 impl Worker {
-    /// An empty worker.
-    pub fn new(record: WorkerRecord, slowness: f64) -> Self {
+    pub fn new(record: WorkerRecord, slowdown: f64) -> Self {
         Self {
             record,
-            slowness,
+            slowdown,
             up: true,
-            waiting: None,
+            pending_renewal: None,
             runs: Vec::new(),
             ended: VecDeque::new(),
-            ends: 0,
+            ended_count: 0,
             fence: Fence::default(),
         }
     }
 
-    /// Takes in a start; false where the fence is outranked.
-    pub fn start(&mut self, order: &StartOrder) -> bool {
+    /// Starts a run; false if the order's fencing token is superseded.
+    pub fn start_run(&mut self, order: &StartOrder) -> bool {
         if order.target.fence < self.fence {
             return false;
         }
@@ -63,16 +58,16 @@
         true
     }
 
-    /// Ends a run, if it is still there.
-    pub fn end(&mut self, task: &Arc<str>, run_id: u64, how: EndKind) -> bool {
+    /// Ends a run; false if it is not running.
+    pub fn finish_run(&mut self, task: &Arc<str>, run_id: u64, how: EndKind) -> bool {
         let same = |run: &ListedRun| run.run_id == run_id && run.task == *task;
         let Some(position) = self.runs.iter().position(same) else {
             return false;
         };
         self.runs.swap_remove(position);
-        self.ends += 1;
+        self.ended_count += 1;
         self.ended.push_back(ListedEnd {
-            number: self.ends,
+            number: self.ended_count,
             task: task.clone(),
             run_id,
             how,
@@ -80,18 +75,17 @@
         true
     }
 
-    /// Takes in a hold's fence and acknowledgement.
-    pub fn take_hold(&mut self, order: &HoldOrder) {
+    /// Applies a renewal's fencing token and drops the runs that it acknowledges.
+    pub fn apply_renewal(&mut self, order: &HoldOrder) {
         self.fence = self.fence.max(order.target.fence);
         self.ended.retain(|end| end.number > order.ends_upto);
     }
 
-    /// Whether a hold has nothing to tell yet.
-    pub fn has_no_news(&self) -> bool {
+    pub fn has_no_finished_runs(&self) -> bool {
         self.ended.is_empty()
     }
 
-    /// What a hold is answered; the worker's clock is the true one.
+    /// Answer to a renewal; the worker's clock has no offset.
     pub fn listing(&self, now_ms: u64) -> HoldOutcome {
         HoldOutcome::Held {
             clock_ms: now_ms,
--- a/crates/replay/tests/overload.rs
+++ b/crates/replay/tests/overload.rs
@@ -1,183 +1,197 @@
-//! What callers see when more comes than there is room for.
+//! What callers get under overload.
 
 use trefoil_core::dispatch::owner::Settings;
 use trefoil_replay::arrivals::{self, Arrival};
-use trefoil_replay::figures::{ClassFigures, Figures, Seen, quantile};
-use trefoil_replay::pattern::{self, Pattern, Returning};
-use trefoil_replay::world::{Played, Returned};
-use trefoil_replay::{bound, world};
+use trefoil_replay::pattern::{self, Pattern, RetryPolicy};
+use trefoil_replay::simulation::{ReplayOutcomes, RetryOutcome};
+use trefoil_replay::stats::{CallerOutcome, ClassStats, ReplayStats, quantile};
+use trefoil_replay::{bound, simulation};
 
-/// A replay and what there is to compare it with.
 struct Replay {
     pattern: Pattern,
     arrivals: Vec<Arrival>,
-    seen: Vec<Seen>,
-    returned: Vec<Returned>,
-    figures: Figures,
+    first_attempts: Vec<CallerOutcome>,
+    retries: Vec<RetryOutcome>,
+    stats: ReplayStats,
 }
 
 impl Replay {
     fn of(name: &str, seed: u64) -> Self {
-        Self::of_pattern(pattern::named(name).unwrap(), seed)
+        Self::of_pattern(pattern::find(name).unwrap(), seed)
     }
 
     fn of_pattern(pattern: Pattern, seed: u64) -> Self {
-        let arrivals = arrivals::draw(&pattern, seed);
-        let Played { seen, returned } = world::run(&pattern, &arrivals, Settings::default());
-        let figures = Figures::count(&pattern, &arrivals, &seen);
+        let arrivals = arrivals::generate(&pattern, seed);
+        let ReplayOutcomes {
+            first_attempts,
+            retries,
+        } = simulation::run(&pattern, &arrivals, Settings::default());
+        let stats = ReplayStats::new(&pattern, &arrivals, &first_attempts);
         Self {
             pattern,
             arrivals,
-            seen,
-            returned: returned.into_iter().flatten().collect(),
-            figures,
+            first_attempts,
+            retries: retries.into_iter().flatten().collect(),
+            stats,
         }
     }
 
-    /// Credit against what no scheduler can exceed.
-    fn of_bound(&self) -> f64 {
-        let room = |at_ms| world::room_at(&self.pattern, at_ms);
-        let bound = bound::credit(&self.pattern, &self.arrivals, room);
-        let credit = self.figures.credit(&self.pattern);
-        assert!(credit <= bound, "{credit} of {bound}");
-        credit / bound
+    /// Weighted goodput as a share of the upper bound.
+    fn share_of_bound(&self) -> f64 {
+        let capacity = |at_ms| simulation::capacity_at(&self.pattern, at_ms);
+        let bound = bound::max_weighted_goodput(&self.pattern, &self.arrivals, capacity);
+        let goodput = self.stats.weighted_goodput(&self.pattern);
+        assert!(
+            goodput <= bound,
+            "goodput {goodput} exceeds the bound {bound}"
+        );
+        goodput / bound
     }
 
-    /// Share of the callers that came back that were refused again.
-    fn refused_again(&self) -> f64 {
-        let refused = |back: &&Returned| matches!(back.seen, Seen::Refused { .. });
-        let again = self.returned.iter().filter(refused).count();
-        again as f64 / self.returned.len() as f64
+    /// Share of the retries that were refused again.
+    fn retries_refused(&self) -> f64 {
+        let is_refused =
+            |retry: &&RetryOutcome| matches!(retry.outcome, CallerOutcome::Refused { .. });
+        let refused = self.retries.iter().filter(is_refused).count();
+        refused as f64 / self.retries.len() as f64
     }
 
-    /// Share of a class's jobs that were answered in aim.
-    fn in_aim(&self, class: usize) -> f64 {
-        let class = &self.figures.classes[class];
-        class.in_aim as f64 / class.owed as f64
+    /// Share of a class's jobs that completed on time.
+    fn on_time(&self, class: usize) -> f64 {
+        let class = &self.stats.classes[class];
+        class.on_time as f64 / class.eligible as f64
     }
 }
 
 #[test]
-fn a_calm_day_is_served_in_aim() {
+fn base_load_is_served_on_time() {
     let replay = Replay::of("calm", 1);
-    assert!(replay.of_bound() > 0.99);
-    assert_eq!(replay.figures.sum(|class| class.left), 0);
-    // As without any limit on the queue: 82, 212 and 1026 ms.
-    let medians_ms = [90, 225, 1080];
-    for (class, median_ms) in replay.figures.classes.iter().zip(medians_ms) {
-        assert!(quantile(&class.answer_ms, 0.5) < median_ms);
+    assert!(replay.share_of_bound() > 0.99);
+    assert_eq!(replay.stats.sum(|class| class.abandoned), 0);
+    // The medians of an unbounded queue are 82, 212 and 1026 ms.
+    let max_medians_ms = [90, 225, 1080];
+    for (class, max_median_ms) in replay.stats.classes.iter().zip(max_medians_ms) {
+        assert!(quantile(&class.completion_latencies_ms, 0.5) < max_median_ms);
     }
 }
 
-/// Without limit on the queue: 0.54 of the bound, and a quarter of the wide
-/// class's callers left without an answer.
+/// An unbounded queue reaches 0.54 of the bound and leaves a quarter of the wide class's callers
+/// without an answer.
 #[test]
-fn a_burst_of_all_classes_leaves_nobody_without_an_answer() {
+fn burst_of_all_classes_leaves_no_caller_without_an_answer() {
     let replay = Replay::of("burst-all", 1);
-    assert!(replay.of_bound() > 0.72);
-    assert_eq!(replay.figures.sum(|class| class.left), 0);
-    // One in a thousand was underestimated by far.
-    let useless = replay.figures.sum(|class| class.useless);
-    assert!(useless * 500 < replay.figures.sum(|class| class.owed));
+    assert!(replay.share_of_bound() > 0.72);
+    assert_eq!(replay.stats.sum(|class| class.abandoned), 0);
+    // Jobs whose run times are far underestimated complete too late; about one in a thousand.
+    let too_late = replay.stats.sum(|class| class.too_late);
+    assert!(too_late * 500 < replay.stats.sum(|class| class.eligible));
 }
 
-/// Without limit on the queue: 0.38.
+/// An unbounded queue reaches 0.38 of the bound.
 #[test]
-fn a_burst_of_four_times_the_traffic_is_served_as_far_as_there_is_room() {
+fn burst_of_four_times_the_base_rate_is_served_up_to_capacity() {
     let replay = Replay::of("burst-twice", 1);
-    assert!(replay.of_bound() > 0.62);
-    assert_eq!(replay.figures.sum(|class| class.left), 0);
+    assert!(replay.share_of_bound() > 0.62);
+    assert_eq!(replay.stats.sum(|class| class.abandoned), 0);
 }
 
-/// By due times alone: 0.80 and 0.77 of the other classes in aim.
+/// Scheduling by due times alone gets 0.80 and 0.77 of the other classes' jobs done on time.
 #[test]
-fn a_burst_of_one_class_does_not_starve_the_others() {
+fn burst_of_one_class_does_not_starve_the_others() {
     let replay = Replay::of("burst-wide", 1);
-    assert!(replay.in_aim(1) > 0.93);
-    assert!(replay.in_aim(2) > 0.93);
-    assert!(replay.of_bound() > 0.70);
-    // By due times alone: 0.61 and 0.62.
+    assert!(replay.on_time(1) > 0.93);
+    assert!(replay.on_time(2) > 0.93);
+    assert!(replay.share_of_bound() > 0.70);
+    // Scheduling by due times alone gets 0.61 and 0.62.
     let replay = Replay::of("burst-small", 1);
-    assert!(replay.in_aim(0) > 0.90);
-    assert!(replay.in_aim(2) > 0.93);
+    assert!(replay.on_time(0) > 0.90);
+    assert!(replay.on_time(2) > 0.93);
 }
 
-/// Without limit on the queue 0.85 in aim and 0.03 without use; with late jobs
-/// refused as soon as all room was in use 0.92 in aim and 0.045 refused.
+/// An unbounded queue gets 0.85 on time and 0.03 too late; refusing late jobs as soon as all
+/// capacity is in use gets 0.92 on time and 0.045 refused.
 #[test]
-fn a_load_at_the_edge_of_the_room_is_served_late_rather_than_refused() {
+fn load_at_the_edge_of_capacity_is_served_late_rather_than_refused() {
     let replay = Replay::of("small-edge", 1);
-    let owed = replay.figures.sum(|class| class.owed) as f64;
-    let share = |count: fn(&ClassFigures) -> u64| replay.figures.sum(count) as f64 / owed;
-    assert!(share(|class| class.in_aim) > 0.88);
+    let eligible = replay.stats.sum(|class| class.eligible) as f64;
+    let share = |count: fn(&ClassStats) -> u64| replay.stats.sum(count) as f64 / eligible;
+    assert!(share(|class| class.on_time) > 0.88);
     assert!(share(|class| class.refused) < 0.03);
-    assert!(share(|class| class.useless + class.failed + class.left) < 0.005);
+    assert!(share(|class| class.too_late + class.failed + class.abandoned) < 0.005);
 }
 
-/// With every failure put down to the worker: 0.52, and with limits 0.57.
+/// Attributing every failure to the worker reaches 0.52 of the bound, or 0.57 with a bounded queue.
 #[test]
-fn hopeless_jobs_do_not_take_the_workers_away_from_others() {
+fn jobs_that_always_fail_do_not_take_capacity_from_others() {
     let replay = Replay::of("hopeless", 1);
-    assert!(replay.of_bound() > 0.70);
+    assert!(replay.share_of_bound() > 0.70);
 }
 
-/// Without limit on the queue: 0.52 and 0.69.
+/// An unbounded queue reaches 0.52 and 0.69 of the bound.
 #[test]
-fn bursts_beside_workers_that_leave_and_come_are_served() {
-    assert!(Replay::of("burst-leaving", 1).of_bound() > 0.68);
-    assert!(Replay::of("join", 1).of_bound() > 0.77);
+fn bursts_are_served_while_workers_leave_or_join() {
+    assert!(Replay::of("burst-leaving", 1).share_of_bound() > 0.68);
+    assert!(Replay::of("join", 1).share_of_bound() > 0.77);
 }
 
 #[test]
 fn callers_that_move_to_another_failure_domain_are_served() {
-    assert!(Replay::of("shift", 1).of_bound() > 0.95);
+    assert!(Replay::of("shift", 1).share_of_bound() > 0.95);
 }
 
 #[test]
-fn refused_callers_are_not_told_to_come_back_together() {
+fn refusals_spread_their_retry_times() {
     let replay = Replay::of("burst-twice", 1);
-    let returns_ms = replay.seen.iter().filter_map(|seen| match seen {
-        Seen::Refused {
-            at_ms,
-            retry_after_ms,
-        } => Some(at_ms + retry_after_ms),
-        _ => None,
-    });
-    let mut a_second = vec![0_u64; 60];
-    returns_ms.for_each(|at_ms| a_second[at_ms as usize / 1000] += 1);
-    // The workers serve some 850 jobs a second at the most.
-    let most = a_second.into_iter().max().unwrap();
-    assert!(most < 850, "{most} in one second");
+    let retry_times_ms = replay
+        .first_attempts
+        .iter()
+        .filter_map(|outcome| match outcome {
+            CallerOutcome::Refused {
+                at_ms,
+                retry_after_ms,
+            } => Some(at_ms + retry_after_ms),
+            _ => None,
+        });
+    let mut per_second = vec![0_u64; 60];
+    retry_times_ms.for_each(|at_ms| per_second[at_ms as usize / 1000] += 1);
+    // The workers serve at most about 850 jobs per second.
+    let max = per_second.into_iter().max().unwrap();
+    assert!(max < 850, "{max} retries in one second");
 }
 
-/// All after 1 s: 0.65 refused again, and 0.68 of the bound for those that come
-/// for the first time. As told: 0.19, and 0.735.
+/// With a fixed delay of 1 s, 0.65 of the retries are refused and first requests reach 0.68 of the
+/// bound; with the delay of the refusal, 0.19 and 0.735.
 #[test]
-fn callers_that_come_back_as_told_are_seldom_refused_again() {
-    let pattern = pattern::named("returning").unwrap();
-    let after_a_second = Pattern {
-        returning: Returning::After { wait_ms: 1000 },
+fn callers_that_honor_retry_after_are_seldom_refused_again() {
+    let pattern = pattern::find("returning").unwrap();
+    let fixed_delay = Pattern {
+        retry_policy: RetryPolicy::FixedDelay { wait_ms: 1000 },
         ..pattern.clone()
     };
-    let told = Replay::of_pattern(pattern, 1);
-    let after_a_second = Replay::of_pattern(after_a_second, 1);
-    assert!(told.refused_again() < 0.25);
-    assert!(told.refused_again() < after_a_second.refused_again() / 2.0);
-    assert!(told.of_bound() > 0.70);
-    assert!(!told.returned.iter().any(|back| back.seen == Seen::Left));
+    let honored = Replay::of_pattern(pattern, 1);
+    let fixed_delay = Replay::of_pattern(fixed_delay, 1);
+    assert!(honored.retries_refused() < 0.25);
+    assert!(honored.retries_refused() < fixed_delay.retries_refused() / 2.0);
+    assert!(honored.share_of_bound() > 0.70);
+    assert!(
+        !honored
+            .retries
+            .iter()
+            .any(|retry| retry.outcome == CallerOutcome::Abandoned)
+    );
 }
 
 #[test]
-fn the_same_seed_gives_the_same_figures() {
+fn the_same_seed_gives_the_same_stats() {
     assert_eq!(
-        Replay::of("recovery", 3).figures,
-        Replay::of("recovery", 3).figures
+        Replay::of("recovery", 3).stats,
+        Replay::of("recovery", 3).stats
     );
 }
 
-/// With a fixed wait of 100 ms for each answer: 0.51 and 0.22 of what is owed.
+/// A fixed timeout of 100 ms for each order reaches 0.51 and 0.22 of the eligible work.
 #[test]
-fn orders_without_an_answer_cost_their_callers_little() {
-    assert!(Replay::of("unanswered", 1).of_bound() > 0.95);
-    assert!(Replay::of("unanswered-half", 1).of_bound() > 0.60);
+fn unanswered_orders_cost_callers_little() {
+    assert!(Replay::of("unanswered", 1).share_of_bound() > 0.95);
+    assert!(Replay::of("unanswered-half", 1).share_of_bound() > 0.60);
 }
