--- a/crates/core/src/dispatch/owner/admit.rs
+++ b/crates/core/src/dispatch/owner/admit.rs
@@ -132,7 +132,7 @@
     /// Retry delay of the caller of a job that is refused now.
     pub(super) fn retry_after_ms(&mut self, now_ms: u64, key: JobKey) -> u64 {
         let cpu = self.cpu_usage(now_ms);
-        let millicore_ms = self.jobs[key].waiting_work();
+        let millicore_ms = self.jobs[key].waiting_millicore_ms();
         self.admission.retry_after_ms(now_ms, cpu, millicore_ms)
     }
 
@@ -147,12 +147,12 @@
     fn forecast(&self, now_ms: u64) -> Forecast {
         let mut forecast = Forecast::new(now_ms);
         let usable = self.workers.values();
-        for worker in usable.filter(|worker| worker.takes_tasks_soon(now_ms)) {
-            if worker.standing == Standing::Unfenced {
-                forecast.add_release(now_ms + FENCING_MS, worker.free().cpu_millicores);
+        for worker in usable.filter(|worker| worker.accepts_tasks_soon(now_ms)) {
+            if worker.fencing == FencingState::Unfenced {
+                forecast.add_release(now_ms + FENCING_MS, worker.free_resources().cpu_millicores);
             }
             for run in &worker.runs {
-                let millicores = run.room.map_or(0, |room| room.cpu_millicores);
+                let millicores = run.resources.map_or(0, |room| room.cpu_millicores);
                 forecast.add_run(run.ordered_ms, run.expected_ms, millicores);
             }
         }
@@ -161,10 +161,10 @@
 
     fn cpu_usage(&self, now_ms: u64) -> CpuUsage {
         let usable = self.workers.values();
-        let usable = usable.filter(|worker| worker.takes_tasks_soon(now_ms));
+        let usable = usable.filter(|worker| worker.accepts_tasks_soon(now_ms));
         usable.fold(CpuUsage::default(), |sum, worker| CpuUsage {
             capacity_millicores: sum.capacity_millicores + worker.record.capacity.cpu_millicores,
-            free_millicores: sum.free_millicores + worker.free().cpu_millicores,
+            free_millicores: sum.free_millicores + worker.free_resources().cpu_millicores,
         })
     }
 }
--- a/crates/core/src/dispatch/owner/answer_timeout.rs
+++ b/crates/core/src/dispatch/owner/answer_timeout.rs
@@ -8,7 +8,7 @@
 //! A pause of this process delays all answers in flight, which the deviation covers;
 //! the caller handles the answers that have arrived before it times out orders.
 
-use super::super::limits::ANSWER_MAX_MS;
+use super::super::limits::ANSWER_TIMEOUT_MAX_MS;
 
 /// Weight of the newest answer in the moving averages.
 const WEIGHT: f64 = 0.05;
@@ -35,7 +35,7 @@
     /// Starts from the maximum timeout until samples arrive.
     fn default() -> Self {
         Self {
-            mean_ms: ANSWER_MAX_MS as f64,
+            mean_ms: ANSWER_TIMEOUT_MAX_MS as f64,
             deviation_ms: 0.0,
             lost_share: 0.0,
         }
@@ -62,7 +62,7 @@
             true => LOSSY_TIMEOUT_MIN_MS,
             false => TIMEOUT_MIN_MS,
         };
-        timeout_ms.clamp(min_ms, ANSWER_MAX_MS as f64) as u64
+        timeout_ms.clamp(min_ms, ANSWER_TIMEOUT_MAX_MS as f64) as u64
     }
 
     pub(super) fn is_lossy(&self) -> bool {
--- a/crates/core/src/dispatch/owner/command.rs
+++ b/crates/core/src/dispatch/owner/command.rs
@@ -7,7 +7,7 @@
 use super::LogEvent;
 use crate::dispatch::fence::Fence;
 use crate::dispatch::job::Origin;
-use crate::dispatch::order::{HoldOrder, OrderOutcome, StartOrder, StopOrder, WorkerKey};
+use crate::dispatch::order::{OrderOutcome, RenewOrder, StartOrder, StopOrder, WorkerKey};
 
 /// An effect that the caller of the owner must carry out.
 #[derive(Debug)]
@@ -17,7 +17,7 @@
     /// Stop a run on a worker.
     Stop(StopOrder),
     /// Renew a worker's leases and list its runs and completions.
-    Renew(HoldOrder),
+    Renew(RenewOrder),
     /// Tell the origin how its job ended.
     JobEnded {
         /// The origin that delegated the job.
--- a/crates/core/src/dispatch/ownership/candidates.rs
+++ b/crates/core/src/dispatch/ownership/candidates.rs
@@ -6,7 +6,9 @@
 
 use super::peers::LinkState;
 use super::{Ownership, Peer, Pool};
-use crate::dispatch::limits::{CLAIM_STAGGER_MS, OWNER_LOST_MS, YIELD_AFTER_MS, YIELD_FACTOR};
+use crate::dispatch::limits::{
+    CLAIM_STAGGER_MS, OWNER_LOST_TIMEOUT_MS, YIELD_AFTER_MS, YIELD_FACTOR,
+};
 
 /// Time for an owner without a link to answer a dial, from when its claim is known.
 const NEVER_LINKED_MS: u64 = 700;
@@ -56,7 +58,7 @@
                 peer.leaving || !same_life || pool.yielded && self.is_stronger_than(owner)
             }
             LinkState::Broken if peer.changed_ms >= pool.learned_ms => {
-                now_ms >= peer.changed_ms + OWNER_LOST_MS
+                now_ms >= peer.changed_ms + OWNER_LOST_TIMEOUT_MS
             }
             LinkState::Broken | LinkState::Absent => {
                 let since_ms = peer.changed_ms.max(pool.learned_ms).max(self.started_ms);
@@ -75,7 +77,7 @@
                 && self.may_be_up(now_ms, peer)
                 && peer.node.name != owner
                 && self.order(&peer.node) < own
-                && (self.is_mesh() || self.watches(&peer.node, name))
+                && (self.is_full_mesh() || self.watches(&peer.node, name))
         });
         before.take(TURN_MAX).count() as u64
     }
@@ -83,7 +85,7 @@
     fn may_be_up(&self, now_ms: u64, peer: &Peer) -> bool {
         // Where not all are linked, the store's list has to do.
         let lost_ms = peer.changed_ms.max(self.started_ms) + LISTED_ONLY_MS;
-        peer.is_linked() || (peer.listed && (!self.is_mesh() || now_ms < lost_ms))
+        peer.is_linked() || (peer.listed && (!self.is_full_mesh() || now_ms < lost_ms))
     }
 
     /// Place in the order of candidates; smaller ones come first.
--- a/crates/core/src/dispatch/worker.rs
+++ b/crates/core/src/dispatch/worker.rs
@@ -10,7 +10,10 @@
 use std::sync::Arc;
 
 use super::fence::Fence;
-use super::limits::{CLOCK_SLOW, PROBE_MS, REGISTRY_GAP_MS, RETRY_MIN_MS, RETRY_MS};
+use super::limits::{
+    CLOCK_DRIFT_MAX, IDLE_RETRY_BACKOFF_MAX_MS, RETRY_BACKOFF_MAX_MS, RETRY_BACKOFF_MIN_MS,
+    UNLISTED_GRACE_MS,
+};
 use super::order::JobKey;
 
 /// What the platform's registry says of a worker.
@@ -27,14 +30,14 @@
     /// Whether it leaves soon and takes nothing new.
     pub draining: bool,
     /// Room for tasks.
-    pub capacity: Room,
+    pub capacity: Resources,
     /// Its kind, its rack.
     pub labels: BTreeSet<Arc<str>>,
 }
 
 /// Resources of a worker or a task.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Room {
+pub struct Resources {
     /// Thousandths of a core.
     pub cpu_millicores: u64,
     /// Megabytes of memory.
@@ -43,7 +46,7 @@
     pub gpus: u64,
 }
 
-impl Room {
+impl Resources {
     /// Whether `other` fits into this.
     pub fn fits(&self, other: &Self) -> bool {
         self.cpu_millicores >= other.cpu_millicores
@@ -92,7 +95,7 @@
     /// A task of a job here, by its position.
     Task(JobKey, usize),
     /// Nobody's here: an earlier owner's, or of a job that ended meanwhile.
-    Nobody {
+    Orphan {
         /// When it is stopped if no job claims it.
         stop_at_ms: u64,
     },
@@ -110,7 +113,7 @@
     /// How far it has come.
     pub state: RunState,
     /// What it takes; unknown of an earlier owner's runs.
-    pub room: Option<Room>,
+    pub resources: Option<Resources>,
     /// When its start was ordered.
     pub ordered_ms: u64,
     /// When it was first known to be there, by an answer.
@@ -120,12 +123,12 @@
     /// How long it should take here.
     pub expected_ms: u64,
     /// How long it may take before something is done about it.
-    pub patience: Patience,
+    pub timeouts: RunTimeouts,
 }
 
 /// How long a run may take.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Patience {
+pub struct RunTimeouts {
     /// After this time its end should have been told: the worker is asked.
     pub check_ms: u64,
     /// After this time it is taken for stalled.
@@ -134,24 +137,24 @@
 
 /// Whether the worker can be ordered.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Standing {
+pub enum FencingState {
     /// It has not yet answered a hold under the present fence.
     Unfenced,
     /// It has; what runs there is known.
     Fenced,
     /// Another owner outranks this one.
-    Outranked,
+    Superseded,
 }
 
 /// The hold that is on its way or open at the worker.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct OpenHold {
+pub struct OpenRenewal {
     /// Tells it apart from earlier ones.
     pub number: u64,
     /// Fence that it went out with.
     pub fence: Fence,
     /// Last end that it acknowledges.
-    pub ends_upto: u64,
+    pub acked_completion: u64,
     /// When it was sent.
     pub sent_ms: u64,
     /// How long its answer may wait for something to end.
@@ -164,42 +167,42 @@
     /// What the registry says.
     pub record: WorkerRecord,
     /// Since when the registry lists it no more.
-    pub unlisted_ms: Option<u64>,
+    pub unlisted_since_ms: Option<u64>,
     /// Highest fence used there.
     pub fence: Fence,
     /// Whether it can be ordered.
-    pub standing: Standing,
+    pub fencing: FencingState,
     /// Whether the owner may use it: a successor would know that it did.
-    pub announced: bool,
+    pub in_stored_roster: bool,
     /// What may run there.
     pub runs: Vec<Run>,
     /// The hold that is open, if any.
-    pub hold: Option<OpenHold>,
+    pub renewal: Option<OpenRenewal>,
     /// Holds sent so far.
-    pub holds_sent: u64,
+    pub renewals_sent: u64,
     /// Whether it is to be asked at once what runs there, beside the open hold.
-    pub look_due: bool,
+    pub poll_due: bool,
     /// Holds without an answer since the last one that had one.
-    pub misses: u32,
+    pub unanswered_renewals: u32,
     /// When a hold was last answered.
-    pub heard_ms: u64,
+    pub last_heard_ms: u64,
     /// Whether the last hold had no answer: leases are not renewed blindly,
     /// or what runs there would never be known to have lapsed.
-    pub silent: bool,
+    pub last_renewal_unanswered: bool,
     /// No call goes there before this instant.
-    pub quiet_until_ms: u64,
+    pub backoff_until_ms: u64,
     /// Number of the last end taken in.
-    pub ends_upto: u64,
+    pub last_completion: u64,
     /// Number of the last end that an answered hold has acknowledged.
-    pub acked_upto: u64,
+    pub acked_completion: u64,
     /// When the last end was taken in.
-    pub ended_ms: u64,
+    pub last_completion_ms: u64,
     /// Its clock, and the instant of its reading.
     clock: Option<(u64, u64)>,
     /// When all leases granted so far have lapsed.
-    pub lapsed_at_ms: u64,
+    pub leases_expire_ms: u64,
     /// Recent evidence on it.
-    pub trust: Trust,
+    pub health: WorkerHealth,
 }
 
 impl Worker {
@@ -207,34 +210,34 @@
     pub fn new(record: WorkerRecord, fence: Fence) -> Self {
         Self {
             record,
-            unlisted_ms: None,
+            unlisted_since_ms: None,
             fence,
-            standing: Standing::Unfenced,
-            announced: true,
+            fencing: FencingState::Unfenced,
+            in_stored_roster: true,
             runs: Vec::new(),
-            hold: None,
-            holds_sent: 0,
-            look_due: false,
-            misses: 0,
-            heard_ms: 0,
-            silent: false,
-            quiet_until_ms: 0,
-            ends_upto: 0,
-            acked_upto: 0,
-            ended_ms: 0,
+            renewal: None,
+            renewals_sent: 0,
+            poll_due: false,
+            unanswered_renewals: 0,
+            last_heard_ms: 0,
+            last_renewal_unanswered: false,
+            backoff_until_ms: 0,
+            last_completion: 0,
+            acked_completion: 0,
+            last_completion_ms: 0,
             clock: None,
-            lapsed_at_ms: 0,
-            trust: Trust::default(),
+            leases_expire_ms: 0,
+            health: WorkerHealth::default(),
         }
     }
 
     /// Room beside all that may run there; none with a run of unknown size.
-    pub fn free(&self) -> Room {
+    pub fn free_resources(&self) -> Resources {
         let mut free = self.record.capacity;
         for run in &self.runs {
-            match run.room {
+            match run.resources {
                 Some(room) => free = free.minus(&room),
-                None => return Room::default(),
+                None => return Resources::default(),
             }
         }
         free
@@ -242,38 +245,38 @@
 
     /// Whether the registry has not listed it for so long that it has left.
     pub fn has_left(&self, now_ms: u64) -> bool {
-        let since_ms = self.unlisted_ms;
-        since_ms.is_some_and(|since_ms| now_ms >= since_ms + REGISTRY_GAP_MS)
+        let since_ms = self.unlisted_since_ms;
+        since_ms.is_some_and(|since_ms| now_ms >= since_ms + UNLISTED_GRACE_MS)
     }
 
     /// Whether new tasks may go there.
-    pub fn is_open(&self, now_ms: u64) -> bool {
-        self.standing == Standing::Fenced
-            && self.announced
+    pub fn accepts_tasks(&self, now_ms: u64) -> bool {
+        self.fencing == FencingState::Fenced
+            && self.in_stored_roster
             && !self.has_left(now_ms)
             && !self.record.draining
-            && self.trust.admits(now_ms, self.runs.len())
+            && self.health.allows_task(now_ms, self.runs.len())
     }
 
     /// Whether new tasks may go there, or may once it has answered a call that
     /// is on its way.
-    pub fn takes_tasks_soon(&self, now_ms: u64) -> bool {
-        self.standing != Standing::Outranked
-            && !self.silent
+    pub fn accepts_tasks_soon(&self, now_ms: u64) -> bool {
+        self.fencing != FencingState::Superseded
+            && !self.last_renewal_unanswered
             && !self.has_left(now_ms)
             && !self.record.draining
-            && !self.trust.is_doubted()
+            && !self.health.is_on_probation()
     }
 
     /// A hold had no answer: when the next one may go out.
-    pub fn missed(&mut self, now_ms: u64) {
-        let pause_ms = RETRY_MIN_MS << self.misses.min(8);
-        self.misses += 1;
+    pub fn record_unanswered_renewal(&mut self, now_ms: u64) {
+        let pause_ms = RETRY_BACKOFF_MIN_MS << self.unanswered_renewals.min(8);
+        self.unanswered_renewals += 1;
         let longest_ms = match self.runs.is_empty() {
-            true => PROBE_MS,
-            false => RETRY_MS,
+            true => IDLE_RETRY_BACKOFF_MAX_MS,
+            false => RETRY_BACKOFF_MAX_MS,
         };
-        self.quiet_until_ms = now_ms + pause_ms.min(longest_ms);
+        self.backoff_until_ms = now_ms + pause_ms.min(longest_ms);
     }
 
     /// Position of a run.
@@ -283,7 +286,7 @@
     }
 
     /// Takes in a reading of its clock.
-    pub fn read_clock(&mut self, now_ms: u64, clock_ms: u64) {
+    pub fn observe_clock(&mut self, now_ms: u64, clock_ms: u64) {
         let known_ms = self.clock_ms(now_ms);
         if known_ms.is_none_or(|known_ms| clock_ms > known_ms) {
             self.clock = Some((clock_ms, now_ms));
@@ -294,28 +297,28 @@
     pub fn clock_ms(&self, now_ms: u64) -> Option<u64> {
         let (clock_ms, read_ms) = self.clock?;
         let since_ms = now_ms.saturating_sub(read_ms) as f64;
-        Some(clock_ms + (since_ms * (1.0 - CLOCK_SLOW)) as u64)
+        Some(clock_ms + (since_ms * (1.0 - CLOCK_DRIFT_MAX)) as u64)
     }
 
     /// A deadline for an order that goes out now, and notes the lease of
     /// `lease_ms`, cut by `cut_ms`; none where nothing is left of it.
-    pub fn lease(&mut self, now_ms: u64, lease_ms: u64, cut_ms: u64) -> Option<u64> {
+    pub fn extend_lease(&mut self, now_ms: u64, lease_ms: u64, cut_ms: u64) -> Option<u64> {
         let lease_ms = lease_ms.checked_sub(cut_ms)?;
         let deadline_ms = self.clock_ms(now_ms)? + lease_ms;
-        let longest_ms = (lease_ms as f64 / (1.0 - CLOCK_SLOW)) as u64 + 1;
-        self.lapsed_at_ms = self.lapsed_at_ms.max(now_ms + longest_ms);
+        let longest_ms = (lease_ms as f64 / (1.0 - CLOCK_DRIFT_MAX)) as u64 + 1;
+        self.leases_expire_ms = self.leases_expire_ms.max(now_ms + longest_ms);
         Some(deadline_ms)
     }
 
     /// Asks it at once what runs there, unless that is being asked.
-    pub fn look(&mut self) {
-        self.look_due = self.hold.is_none_or(|hold| hold.wait_ms > 0);
+    pub fn request_poll(&mut self) {
+        self.poll_due = self.renewal.is_none_or(|hold| hold.wait_ms > 0);
     }
 
     /// Raises the fence: earlier orders of unknown fate die with the next hold.
-    pub fn raise(&mut self) {
+    pub fn raise_fence(&mut self) {
         self.fence = self.fence.raised();
-        self.standing = Standing::Unfenced;
+        self.fencing = FencingState::Unfenced;
     }
 }
 
@@ -334,52 +337,52 @@
 /// and workers that fail everything start everything that they are given.
 /// After the pause one task at a time goes there until one is done.
 #[derive(Clone, Debug)]
-pub struct Trust {
+pub struct WorkerHealth {
     failures: u32,
     paused_until_ms: u64,
     /// Run times there against the estimates; 1 is as estimated.
-    pub slowness: f64,
+    pub slowdown: f64,
 }
 
-impl Default for Trust {
+impl Default for WorkerHealth {
     fn default() -> Self {
         Self {
             failures: 0,
             paused_until_ms: 0,
-            slowness: 1.0,
+            slowdown: 1.0,
         }
     }
 }
 
-impl Trust {
+impl WorkerHealth {
     /// Whether one more task may go there beside `runs` others.
-    pub fn admits(&self, now_ms: u64, runs: usize) -> bool {
+    pub fn allows_task(&self, now_ms: u64, runs: usize) -> bool {
         self.failures == 0 || (now_ms >= self.paused_until_ms && runs == 0)
     }
 
     /// Whether it has failed since it last got a task done.
-    pub fn is_doubted(&self) -> bool {
+    pub fn is_on_probation(&self) -> bool {
         self.failures > 0
     }
 
     /// A task was done there that takes `estimate_ms` at common speed.
-    pub fn done(&mut self, estimate_ms: u64, took_ms: u64) {
+    pub fn record_success(&mut self, estimate_ms: u64, took_ms: u64) {
         self.failures = 0;
         let ratio = took_ms as f64 / (estimate_ms.max(1) as f64);
         let ratio = ratio.clamp(*SLOWNESS.start(), *SLOWNESS.end());
-        self.slowness += SPEED_WEIGHT * (ratio - self.slowness);
+        self.slowdown += SPEED_WEIGHT * (ratio - self.slowdown);
     }
 
     /// Its only failure lately was its job's fault. Several are its own: they
     /// are of several jobs.
-    pub fn forgive(&mut self) {
+    pub fn clear_single_failure(&mut self) {
         if self.failures == 1 {
             self.failures = 0;
         }
     }
 
     /// A task failed or stalled there.
-    pub fn failed(&mut self, now_ms: u64) {
+    pub fn record_failure(&mut self, now_ms: u64) {
         let pause_ms = PROBATION_MS << self.failures.min(8);
         self.failures += 1;
         self.paused_until_ms = now_ms + pause_ms.min(PROBATION_MAX_MS);
--- a/crates/instance/src/instance/frames.rs
+++ b/crates/instance/src/instance/frames.rs
@@ -5,7 +5,7 @@
     Beat, Cancel, ConfigPush, ConfigRequest, Delegate, Ended, Frame, OwnedPool,
 };
 
-use trefoil_core::dispatch::entry::Cause;
+use trefoil_core::dispatch::entry::RevocationCause;
 use trefoil_core::dispatch::owner::JobResult;
 
 use super::peers::encode;
@@ -16,7 +16,7 @@
 /// Pause between two such questions to one peer.
 const ASK_AGAIN_MS: u64 = 1000;
 
-impl<E: Store + Workers + 'static> Instance<E> {
+impl<E: Store + WorkerClient + 'static> Instance<E> {
     pub(super) fn take_frame(self: &Rc<Self>, id: u64, frame: Frame) {
         let Some(body) = frame.body else {
             return;
@@ -47,9 +47,9 @@
                         retry_after_ms: ended.retry_after_ms,
                     };
                     let pool = ended.pool;
-                    let from = Owned { pool, owner: name };
+                    let from = PoolOwner { pool, owner: name };
                     let out = &mut effects.entry;
-                    state.entry.ended(now_ms, &from, &result, out);
+                    state.entry.on_job_ended(now_ms, &from, &result, out);
                 }
                 Body::ConfigRequest(request) => {
                     self.send_declarations(state, id, request.revision);
@@ -110,8 +110,8 @@
                 owner.on_origin_heartbeat(Origin::Link(id), beat.echo_ms);
             }
         }
-        state.ownership.heard(&name, beat.leaving);
-        let mut known = state.entry.pools_of(&name);
+        state.ownership.set_peer_leaving(&name, beat.leaving);
+        let mut known = state.entry.pools_owned_by(&name);
         for owned in beat.owned {
             known.retain(|known| {
                 owned
@@ -125,7 +125,7 @@
             let out = &mut effects.entry;
             state
                 .entry
-                .pool_lost(now_ms, &lost, Cause::OwnerChanged, out);
+                .pool_lost(now_ms, &lost, RevocationCause::OwnerChanged, out);
         }
         if state.declared.is_behind(beat.declarations_revision) {
             self.catch_up(state, id, now_ms);
@@ -147,10 +147,12 @@
         // Jobs go only to owners with a link that is not being drained.
         if owner == self.me.name || state.peers.link_to(owner).is_some() {
             let out = &mut effects.entry;
-            state.entry.pool_seen(now_ms, &claim, load, out);
+            state.entry.update_pool(now_ms, &claim, load, out);
         }
         let out = &mut effects.ownership;
-        state.ownership.learn(now_ms, claim, owned.yielded, out);
+        state
+            .ownership
+            .learn_claim(now_ms, claim, owned.yielded, out);
     }
 
     /// A peer has newer declarations: the store is read, and if that does not
@@ -201,7 +203,7 @@
         }
     }
 
-    pub(super) fn send_delegate(&self, to: &Owned, delegate: Delegate, effects: &mut Effects) {
+    pub(super) fn send_delegate(&self, to: &PoolOwner, delegate: Delegate, effects: &mut Effects) {
         let mut state = self.state.borrow_mut();
         let frame = encode(Body::Delegate(delegate));
         let link = state.peers.link_to(&to.owner);
@@ -210,11 +212,11 @@
             let out = &mut effects.entry;
             state
                 .entry
-                .pool_lost(self.now_ms(), to, Cause::LinkLost, out);
+                .pool_lost(self.now_ms(), to, RevocationCause::LinkLost, out);
         }
     }
 
-    pub(super) fn send_cancel(&self, to: &Owned, job_id: String) {
+    pub(super) fn send_cancel(&self, to: &PoolOwner, job_id: String) {
         let state = self.state.borrow();
         let pool = to.pool.clone();
         let cancel = encode(Body::Cancel(Cancel { job_id, pool }));
