--- a/crates/core/src/dispatch/owner.rs
+++ b/crates/core/src/dispatch/owner.rs
@@ -1,26 +1,26 @@
-//! The owner of one pool: its jobs, tasks and workers.
+//! The owner of a pool, which schedules delegated jobs onto the pool's workers.
 //!
-//! [`Owner`] takes delegated jobs, the registry's workers and the outcomes of
-//! orders, and pushes [`Command`]s. The steps are in the modules below:
+//! [`Owner`] takes delegated jobs, the registry's workers and the results of
+//! orders, and pushes [`Command`]s. Its parts:
 //!
-//! * [`admission`]: which jobs may wait, and what refused callers are told.
-//! * [`admit`]: what that is decided by, and what follows.
+//! * [`admission`]: admission control and retry delays of refused callers.
+//! * [`admit`]: applies admission control to waiting jobs.
 //! * [`forecast`]: when waiting jobs can begin.
-//! * [`shares`]: each class's share of the room.
-//! * [`queue`]: the order in which waiting jobs are tried.
-//! * [`run_times`]: how long tasks take.
-//! * [`placement`]: which task starts where.
-//! * [`reservation`]: room kept for begun jobs that are late.
-//! * [`answer_timeout`]: how long to wait for answers.
-//! * [`order_results`]: what became of starts and stops.
-//! * [`lease_renewal`]: leases, ends, and the fate of orders without an answer.
+//! * [`shares`]: fair sharing between job classes.
+//! * [`queue`]: the order in which waiting jobs are placed.
+//! * [`run_times`]: run times learned by job class.
+//! * [`placement`]: which task starts on which worker.
+//! * [`reservation`]: workers reserved for late jobs that have begun.
+//! * [`answer_timeout`]: adaptive timeout of workers' answers.
+//! * [`order_results`]: results of start and stop orders.
+//! * [`lease_renewal`]: lease renewal, and recovery of unanswered orders.
 //! * [`poison_tasks`]: tasks that crash the workers that start them.
-//! * [`overdue`]: runs that take longer than they should.
-//! * [`adopt`]: what an earlier owner left behind.
-//! * [`closure`]: a failure domain that takes no new tasks.
-//! * [`start_barrier`]: when a job is safe that an earlier owner had.
-//! * [`origins`]: those who delegated jobs, and their links.
-//! * [`completions`]: what a run's end means for its task and job.
+//! * [`overdue`]: polling and stopping of overdue runs.
+//! * [`adopt`]: adoption of a predecessor's runs.
+//! * [`closure`]: evacuation of a closed failure domain.
+//! * [`start_barrier`]: when a job that an earlier owner had may start.
+//! * [`origins`]: liveness of the origins that delegated jobs.
+//! * [`completions`]: effects of a completed run on its task, job and worker.
 //! * [`job_results`]: how jobs end.
 
 mod admission;
@@ -72,16 +72,15 @@
 pub use start_barrier::StartBarrier;
 pub use stats::OwnerStats;
 
-/// Added to run numbers when a worker knows a later run: an earlier owner's
-/// clock was ahead. Covers half a minute.
-const RUN_LEAP: u64 = 30_000;
+/// Added to the run id counter when a worker knows a later run, since the clock of
+/// an earlier owner was ahead. Run ids count in milliseconds.
+const RUN_ID_LEAP: u64 = 30_000;
 
-/// The jobs and workers of one owner.
+/// Jobs and workers of one pool.
 #[derive(Debug)]
 pub struct Owner {
     pool: Arc<str>,
-    /// Fence for workers that are new to the table: as high as that of any that
-    /// has left it.
+    /// Initial fence of workers: at least that of any worker that has left the table.
     fence: Fence,
     workers: SlotMap<WorkerKey, Worker>,
     worker_ids: HashMap<Arc<str>, WorkerKey>,
@@ -90,20 +89,22 @@
     queue: queue::Queue,
     run_times: run_times::RunTimes,
     answer_timeout: answer_timeout::AnswerTimeout,
-    /// Ends of tasks that no job here has claimed, with their instants.
-    orphan_ends: HashMap<Arc<str>, (RunOutcome, u64)>,
-    losses: poison_tasks::Losses,
-    /// Jobs that ended lately.
-    ended: VecDeque<(u64, String, Outcome)>,
-    dirty: BTreeSet<WorkerKey>,
-    /// Until when each origin is known to have had its link.
-    alive_ms: HashMap<Origin, u64>,
-    /// Origins whose links broke lately, oldest first, with the instants.
+    /// Outcomes of runs that no job here has claimed, and when they were listed.
+    orphan_completions: HashMap<Arc<str>, (RunOutcome, u64)>,
+    worker_losses: poison_tasks::WorkerLosses,
+    /// Jobs that ended recently, oldest first.
+    ended_jobs: VecDeque<(u64, String, Outcome)>,
+    /// Workers whose lease renewal has to be reconsidered.
+    dirty_workers: BTreeSet<WorkerKey>,
+    /// When each origin was last known to be connected.
+    origin_heartbeats: HashMap<Origin, u64>,
+    /// Origins whose links broke recently and when, oldest first.
     lost_origins: VecDeque<(u64, Origin)>,
-    run_seed: u64,
-    clearance: start_barrier::Clearance,
+    /// Lower bound of new run ids.
+    run_id_counter: u64,
+    predecessor: start_barrier::PredecessorFencing,
     closure: closure::Closure,
-    /// Workers that may be used; none where every one may be.
+    /// Workers that may be used; `None` permits all.
     stored_roster: Option<Roster>,
     released: bool,
     admission: admission::Admission,
@@ -111,8 +112,9 @@
 }
 
 impl Owner {
-    /// An owner of a pool; `run_seed` is larger than that of earlier owners.
-    pub fn new(pool: &str, fence: Fence, run_seed: u64) -> Self {
+    /// Creates the owner of a pool. `run_id_counter` must exceed the run ids of earlier
+    /// owners; instances pass Unix time in milliseconds.
+    pub fn new(pool: &str, fence: Fence, run_id_counter: u64) -> Self {
         Self {
             pool: Arc::from(pool),
             fence,
@@ -123,14 +125,14 @@
             queue: queue::Queue::default(),
             run_times: run_times::RunTimes::default(),
             answer_timeout: answer_timeout::AnswerTimeout::default(),
-            orphan_ends: HashMap::new(),
-            losses: poison_tasks::Losses::default(),
-            ended: VecDeque::new(),
-            dirty: BTreeSet::new(),
-            alive_ms: HashMap::new(),
+            orphan_completions: HashMap::new(),
+            worker_losses: poison_tasks::WorkerLosses::default(),
+            ended_jobs: VecDeque::new(),
+            dirty_workers: BTreeSet::new(),
+            origin_heartbeats: HashMap::new(),
             lost_origins: VecDeque::new(),
-            run_seed,
-            clearance: start_barrier::Clearance::default(),
+            run_id_counter,
+            predecessor: start_barrier::PredecessorFencing::default(),
             closure: closure::Closure::default(),
             stored_roster: None,
             released: false,
@@ -139,56 +141,57 @@
         }
     }
 
-    /// The same owner under `holder`'s name, after a predecessor whose roster the
-    /// store told.
+    /// Sets the ownership that the owner holds, and the one before it with the roster
+    /// that it stored.
     #[must_use]
     pub fn with_predecessor(
         mut self,
         holder: Option<Holder>,
         predecessor: Option<Predecessor>,
     ) -> Self {
-        self.clearance = start_barrier::Clearance::new(holder, predecessor);
+        self.predecessor = start_barrier::PredecessorFencing::new(holder, predecessor);
         self
     }
 
-    /// The same owner with other settings.
+    /// Replaces the default settings.
     #[must_use]
     pub fn with_settings(mut self, settings: Settings) -> Self {
         self.settings = settings;
         self
     }
 
-    /// The pool whose workers it owns.
+    /// Name of the pool.
     pub fn pool(&self) -> &str {
         &self.pool
     }
 
-    /// Takes in the registry's workers of the pool.
+    /// Updates the workers that the registry lists for the pool. Workers that are no
+    /// longer listed stay in use for a grace period.
     pub fn set_workers(&mut self, now_ms: u64, records: Vec<WorkerRecord>, out: &mut Vec<Command>) {
         let listed: HashSet<Arc<str>> = records.iter().map(|record| record.id.clone()).collect();
         for record in records {
-            self.set_worker(record, out);
+            self.upsert_worker(record, out);
         }
         for (key, worker) in &mut self.workers {
             if worker.unlisted_since_ms.is_none() && !listed.contains(&worker.record.id) {
                 worker.unlisted_since_ms = Some(now_ms);
-                self.dirty.insert(key);
+                self.dirty_workers.insert(key);
                 out.push(Command::Log(LogEvent::worker("unlisted", worker)));
             }
         }
-        self.settle(now_ms, out);
+        self.schedule(now_ms, out);
     }
 
-    fn set_worker(&mut self, record: WorkerRecord, out: &mut Vec<Command>) {
+    fn upsert_worker(&mut self, record: WorkerRecord, out: &mut Vec<Command>) {
         if let Some(&key) = self.worker_ids.get(&record.id) {
             let worker = &mut self.workers[key];
             if worker.record.draining != record.draining {
                 out.push(Command::Log(LogEvent::worker("draining", worker)));
             }
             if worker.record.capacity != record.capacity {
-                let mut note = LogEvent::worker("capacity changed", worker);
-                note.detail = format!("{:?} to {:?}", worker.record.capacity, record.capacity);
-                out.push(Command::Log(note));
+                let mut event = LogEvent::worker("capacity changed", worker);
+                event.detail = format!("{:?} to {:?}", worker.record.capacity, record.capacity);
+                out.push(Command::Log(event));
             }
             worker.unlisted_since_ms = None;
             worker.record = record;
@@ -196,14 +199,16 @@
         }
         let id = record.id.clone();
         let mut worker = Worker::new(record, self.fence);
-        worker.in_stored_roster = self.may_use(&id);
+        worker.in_stored_roster = self.is_in_stored_roster(&id);
         out.push(Command::Log(LogEvent::worker("listed", &worker)));
         let key = self.workers.insert(worker);
         self.worker_ids.insert(id, key);
-        self.dirty.insert(key);
+        self.dirty_workers.insert(key);
     }
 
-    /// Takes a job in, or attaches its origin to the job known by its id.
+    /// Accepts a job, or attaches the origin to the job with the same id. Runs that
+    /// earlier owners started may exist for `unsafe_for_ms`; `unsafe_holder` is the
+    /// only ownership that may have started them, if there is only one.
     pub fn delegate(
         &mut self,
         now_ms: u64,
@@ -220,17 +225,17 @@
                 job.origin = Some(origin);
                 job.paused = false;
                 self.queue.invalidate();
-                return self.settle(now_ms, out);
+                return self.schedule(now_ms, out);
             }
-            // Its runs are being stopped; the new job waits for their ends.
-            self.detach(key, now_ms);
+            // The new job starts once the runs that are being stopped have ended.
+            self.detach_runs(key, now_ms);
         }
-        if let Some(outcome) = self.remembered(&spec.id) {
+        if let Some(outcome) = self.ended_outcome(&spec.id) {
             let reason = "it ended a moment ago";
-            return self.tell(origin, spec.id, outcome, reason, out);
+            return self.report(origin, spec.id, outcome, reason, out);
         }
         if self.released {
-            return self.tell(
+            return self.report(
                 origin,
                 spec.id,
                 Outcome::Returned,
@@ -243,26 +248,26 @@
         self.run_times.refine_estimates(&mut spec);
         let mut job = Job::new(spec, origin, now_ms);
         job.unsafe_until_ms = now_ms + unsafe_for_ms;
-        job.start_barrier = self.clearance.of(unsafe_holder);
+        job.start_barrier = self.predecessor.barrier_for(unsafe_holder);
         let key = self.jobs.insert(job);
         self.job_ids.insert(id, key);
         self.adopt(key);
         self.enqueue(now_ms, key);
         if self.jobs[key].is_done() {
-            self.finish(now_ms, key, Outcome::Completed, "its tasks were done", out);
+            self.end_job(now_ms, key, Outcome::Completed, "its tasks were done", out);
         }
-        let work = self.jobs.get(key).map_or(0, Job::waiting_millicore_ms);
+        let millicore_ms = self.jobs.get(key).map_or(0, Job::waiting_millicore_ms);
         self.return_jobs(now_ms, out);
-        self.settle(now_ms, out);
-        self.admit_new(now_ms, key, work, out);
+        self.schedule(now_ms, out);
+        self.admit_new(now_ms, key, millicore_ms, out);
     }
 
-    fn remembered(&self, job_id: &str) -> Option<Outcome> {
-        let mut ended = self.ended.iter().rev();
+    fn ended_outcome(&self, job_id: &str) -> Option<Outcome> {
+        let mut ended = self.ended_jobs.iter().rev();
         ended.find(|(_, id, _)| id == job_id).map(|ended| ended.2)
     }
 
-    /// Ends a job that its origin no longer awaits; its runs are stopped.
+    /// Cancels a job of `origin` and stops its runs.
     pub fn cancel(&mut self, now_ms: u64, origin: Origin, job_id: &str, out: &mut Vec<Command>) {
         let key = self.job_ids.get(job_id).copied();
         let key = key.filter(|&key| self.jobs[key].origin == Some(origin));
@@ -270,43 +275,48 @@
             return;
         };
         out.push(Command::Log(LogEvent::job("cancelled", job_id)));
-        self.abandon(now_ms, key, out);
-        self.settle(now_ms, out);
+        self.stop_job(now_ms, key, out);
+        self.schedule(now_ms, out);
     }
 
-    /// Passes time: retries, lapsed leases, stalled runs.
+    /// Handles everything that is due at `now_ms`: retries, expired leases, overdue
+    /// runs, and jobs that cannot be useful any more. Must be called periodically.
     pub fn tick(&mut self, now_ms: u64, out: &mut Vec<Command>) {
         if self.released {
             return;
         }
-        self.dirty.extend(self.workers.keys());
+        self.dirty_workers.extend(self.workers.keys());
         self.queue.invalidate();
         self.expire_origins(now_ms, out);
-        self.expire(now_ms, out);
+        self.check_deadlines(now_ms, out);
         self.return_jobs(now_ms, out);
-        self.refuse_hopeless(now_ms, out);
-        self.settle(now_ms, out);
+        self.refuse_expired(now_ms, out);
+        self.schedule(now_ms, out);
         self.recheck_waiting(now_ms, out);
-        let old = |at_ms: u64| at_ms + ENDED_JOB_RETENTION_MS < now_ms;
-        while self.ended.front().is_some_and(|ended| old(ended.0)) {
-            self.ended.pop_front();
+        let is_expired = |at_ms: u64| at_ms + ENDED_JOB_RETENTION_MS < now_ms;
+        while self
+            .ended_jobs
+            .front()
+            .is_some_and(|ended| is_expired(ended.0))
+        {
+            self.ended_jobs.pop_front();
         }
-        self.orphan_ends
+        self.orphan_completions
             .retain(|_, end| end.1 + 4 * ADOPTION_GRACE_MS > now_ms);
     }
 
-    /// Refuses jobs of which nothing has run and that are of no use any more,
-    /// so that their callers know at once.
-    fn refuse_hopeless(&mut self, now_ms: u64, out: &mut Vec<Command>) {
-        let fenced = self.all_fenced();
-        let hopeless = |job: &Job| {
+    /// Refuses expired jobs that have not begun, so that their callers need not wait
+    /// for their own timeouts.
+    fn refuse_expired(&mut self, now_ms: u64, out: &mut Vec<Command>) {
+        let fenced = self.predecessor_fenced();
+        let can_refuse = |job: &Job| {
             let safe = job.is_safe(now_ms, fenced);
             safe && !job.started && !job.stopping && job.is_expired(now_ms)
         };
         let keys: Vec<JobKey> = self
             .jobs
             .iter()
-            .filter(|(_, job)| hopeless(job))
+            .filter(|(_, job)| can_refuse(job))
             .map(|(key, _)| key)
             .collect();
         for key in keys {
@@ -314,15 +324,15 @@
         }
     }
 
-    /// Starts what fits and sends the holds that are due.
-    fn settle(&mut self, now_ms: u64, out: &mut Vec<Command>) {
+    /// Places waiting tasks and sends the lease renewals that are due.
+    fn schedule(&mut self, now_ms: u64, out: &mut Vec<Command>) {
         if self.released {
             return;
         }
         self.place(now_ms, out);
-        let dirty = std::mem::take(&mut self.dirty);
+        let dirty = std::mem::take(&mut self.dirty_workers);
         for key in dirty {
-            self.hold_if_due(now_ms, key, out);
+            self.renew_if_due(now_ms, key, out);
         }
     }
 }
@@ -340,7 +350,7 @@
     now_ms: u64,
     run: &mut super::worker::Run,
     target: Target,
-    answer_ms: u64,
+    answer_timeout_ms: u64,
     out: &mut Vec<Command>,
 ) {
     run.state = RunState::Stopping { ordered_ms: now_ms };
@@ -348,6 +358,6 @@
         target,
         task: run.task.clone(),
         run_id: run.run_id,
-        answer_timeout_ms: answer_ms,
+        answer_timeout_ms,
     }));
 }
--- a/crates/core/src/dispatch/owner/admit.rs
+++ b/crates/core/src/dispatch/owner/admit.rs
@@ -152,7 +152,9 @@
                 forecast.add_release(now_ms + FENCING_MS, worker.free_resources().cpu_millicores);
             }
             for run in &worker.runs {
-                let millicores = run.resources.map_or(0, |room| room.cpu_millicores);
+                let millicores = run
+                    .resources
+                    .map_or(0, |resources| resources.cpu_millicores);
                 forecast.add_run(run.ordered_ms, run.expected_ms, millicores);
             }
         }
--- a/crates/core/src/dispatch/owner/job_results.rs
+++ b/crates/core/src/dispatch/owner/job_results.rs
@@ -1,33 +1,33 @@
-//! How jobs end: told to their origins, their runs stopped, forgotten once
-//! nothing of them can run.
+//! How jobs end: the result is reported to the origin, the runs are stopped, and the
+//! job is removed once none of them is left.
 
 use super::*;
 
 impl Owner {
-    /// Stops a job's runs; it goes when they have ended.
-    pub(super) fn abandon(&mut self, now_ms: u64, key: JobKey, out: &mut Vec<Command>) {
+    /// Stops a job's runs; the job is removed when they have ended.
+    pub(super) fn stop_job(&mut self, now_ms: u64, key: JobKey, out: &mut Vec<Command>) {
         let job = &mut self.jobs[key];
         job.origin = None;
         job.stopping = true;
         self.stop_runs(now_ms, key, out);
-        self.drop_if_ended(key);
+        self.remove_if_ended(key);
     }
 
     pub(super) fn stop_runs(&mut self, now_ms: u64, key: JobKey, out: &mut Vec<Command>) {
-        let answer_ms = self.answer_timeout.timeout_ms();
+        let answer_timeout_ms = self.answer_timeout.timeout_ms();
         for (worker_key, worker) in &mut self.workers {
             let target = target_of(worker_key, worker);
             for run in &mut worker.runs {
-                let own = matches!(run.owner, RunOwner::Task(job, _) if job == key);
-                let stopped = matches!(run.state, RunState::Stopping { .. });
-                if own && !stopped {
-                    stop_run(now_ms, run, target.clone(), answer_ms, out);
+                let is_of_job = matches!(run.owner, RunOwner::Task(job, _) if job == key);
+                let is_stopping = matches!(run.state, RunState::Stopping { .. });
+                if is_of_job && !is_stopping {
+                    stop_run(now_ms, run, target.clone(), answer_timeout_ms, out);
                 }
             }
         }
     }
 
-    pub(super) fn drop_if_ended(&mut self, key: JobKey) {
+    pub(super) fn remove_if_ended(&mut self, key: JobKey) {
         let job = &self.jobs[key];
         if job.origin.is_none() && !job.has_assigned_tasks() {
             let id = job.spec.id.clone();
@@ -38,9 +38,8 @@
         }
     }
 
-    /// Lets a job that is being stopped go; what remains of its runs is
-    /// nobody's until it ends.
-    pub(super) fn detach(&mut self, key: JobKey, now_ms: u64) {
+    /// Removes a job that is being stopped; its remaining runs become orphans.
+    pub(super) fn detach_runs(&mut self, key: JobKey, now_ms: u64) {
         for (_, worker) in &mut self.workers {
             for run in &mut worker.runs {
                 if matches!(run.owner, RunOwner::Task(job, _) if job == key) {
@@ -53,8 +52,9 @@
         }
     }
 
-    /// Gives up all ownership: nothing is ordered any more. Jobs of which
-    /// nothing runs go back; of the others it is said that they may run.
+    /// Gives up ownership of the pool: no more orders are sent. Jobs without runs are
+    /// returned to their origins; the others are reported as lost, since they may
+    /// still run.
     pub fn release(&mut self, now_ms: u64, out: &mut Vec<Command>) {
         if self.released {
             return;
@@ -68,19 +68,19 @@
                 (false, true) => Outcome::Stopped,
                 (false, false) => Outcome::Returned,
             };
-            self.finish(now_ms, key, outcome, "ownership has ended", out);
+            self.end_job(now_ms, key, outcome, "ownership has ended", out);
         }
         self.jobs.clear();
         self.job_ids.clear();
     }
 
-    /// Whether it has given up ownership.
+    /// Whether ownership has been given up.
     pub fn is_released(&self) -> bool {
         self.released
     }
 
-    /// Tells the origin and forgets the job, whose runs are stopped.
-    pub(super) fn finish(
+    /// Reports the outcome to the origin, and stops the job's runs.
+    pub(super) fn end_job(
         &mut self,
         now_ms: u64,
         key: JobKey,
@@ -91,17 +91,17 @@
         let job = &mut self.jobs[key];
         let id = job.spec.id.clone();
         if let Some(origin) = job.origin {
-            self.tell(origin, id.clone(), outcome, reason, out);
+            self.report(origin, id.clone(), outcome, reason, out);
         }
         if matches!(outcome, Outcome::Completed | Outcome::Failed) {
-            self.ended.push_back((now_ms, id, outcome));
+            self.ended_jobs.push_back((now_ms, id, outcome));
         }
         if !self.released {
-            self.abandon(now_ms, key, out);
+            self.stop_job(now_ms, key, out);
         }
     }
 
-    /// Tells the origin that nothing of the job has run or will, and forgets it.
+    /// Reports to the origin that nothing of the job has run, and removes the job.
     pub(super) fn refuse(
         &mut self,
         now_ms: u64,
@@ -123,10 +123,10 @@
                 reason,
             });
         }
-        self.abandon(now_ms, key, out);
+        self.stop_job(now_ms, key, out);
     }
 
-    pub(super) fn tell(
+    pub(super) fn report(
         &self,
         origin: Origin,
         job_id: String,
--- a/crates/core/src/dispatch/owner/lease_renewal.rs
+++ b/crates/core/src/dispatch/owner/lease_renewal.rs
@@ -1,10 +1,10 @@
-//! Lease renewal and recovery of unacknowledged starts.
+//! Lease renewal, and recovery of unanswered orders.
 //!
-//! A worker with runs has one hold open, which renews the lease and comes back
-//! as soon as something ends. An order without an answer may be carried out
-//! later; so the fence is raised, and the next hold under it both kills that
-//! order and tells whether it was carried out before. While the worker does
-//! not answer, its runs are counted as running until their leases lapse.
+//! A worker with runs has one renewal open, which extends its lease and is answered
+//! as soon as a run completes. An unanswered order may still be carried out, so the
+//! fence is raised; the next renewal invalidates the order and lists whether it was
+//! carried out. While the worker does not answer, its runs occupy capacity until
+//! their leases have expired.
 
 use super::super::limits::{
     ADOPTION_GRACE_MS, IDLE_ACK_DELAY_MS, IDLE_RETRY_BACKOFF_MAX_MS, LEASE_MAX_MS, LEASE_MS,
@@ -15,26 +15,27 @@
 use super::*;
 
 impl Owner {
-    /// Renews leases that are due and evicts workers that left the registry.
-    pub(super) fn hold_if_due(&mut self, now_ms: u64, key: WorkerKey, out: &mut Vec<Command>) {
+    /// Sends a lease renewal to a worker if one is due, or removes the worker if it has
+    /// left the registry.
+    pub(super) fn renew_if_due(&mut self, now_ms: u64, key: WorkerKey, out: &mut Vec<Command>) {
         if !self.workers.contains_key(key) {
             return;
         }
-        let overdue_ms = self.overdue_on(now_ms, key);
+        let overdue_ms = self.max_origin_overdue_ms(now_ms, key);
         let worker = &mut self.workers[key];
         let unacked = worker.acked_completion < worker.last_completion;
         if worker.has_left(now_ms) && worker.runs.is_empty() && !unacked {
-            // It may come back, and has seen this fence.
+            // If the worker is listed again, it rejects any older fence.
             self.fence = self.fence.max(worker.fence);
             let id = worker.record.id.clone();
             self.workers.remove(key);
             self.worker_ids.remove(&id);
             return;
         }
-        let open = worker
+        let is_open = worker
             .renewal
-            .is_some_and(|hold| hold.fence == worker.fence);
-        if (open && !worker.poll_due) || now_ms < worker.backoff_until_ms {
+            .is_some_and(|renewal| renewal.fence == worker.fence);
+        if (is_open && !worker.poll_due) || now_ms < worker.backoff_until_ms {
             return;
         }
         let started = |run: &Run| !matches!(run.state, RunState::Starting(_));
@@ -49,7 +50,8 @@
             }
             FencingState::Fenced => 0,
         };
-        // Neither runs that are being stopped nor starts of unknown fate get more time.
+        // Runs that are being stopped, and starts that may not have arrived, do not
+        // justify a longer lease.
         let running = |run: &Run| matches!(run.state, RunState::Running);
         let renews = !worker.last_renewal_unanswered && worker.runs.iter().any(running);
         let deadline_ms = match renews {
@@ -75,7 +77,7 @@
         }));
     }
 
-    /// Takes in what became of the hold of this number, sent under `fence`.
+    /// Handles the result of the lease renewal with this number, sent under `fence`.
     pub fn on_renew_result(
         &mut self,
         now_ms: u64,
@@ -92,48 +94,48 @@
             return;
         };
         if outcome == RenewOutcome::WrongIncarnation {
-            self.life_over(now_ms, key, out);
-            return self.settle(now_ms, out);
+            self.on_incarnation_ended(now_ms, key, out);
+            return self.schedule(now_ms, out);
         }
-        let Some(hold) = worker.renewal.filter(|hold| hold.number == number) else {
-            return self.take_late_ends(now_ms, key, outcome, out);
+        let Some(renewal) = worker.renewal.filter(|renewal| renewal.number == number) else {
+            return self.take_late_completions(now_ms, key, outcome, out);
         };
         worker.renewal = None;
-        self.dirty.insert(key);
+        self.dirty_workers.insert(key);
         if fence != worker.fence {
-            return self.settle(now_ms, out);
+            return self.schedule(now_ms, out);
         }
         match outcome {
             RenewOutcome::Renewed {
                 clock_ms,
                 running,
-                completions: ended,
+                completions,
             } => {
                 worker.observe_clock(now_ms, clock_ms);
-                let is_back = worker.fencing == FencingState::Unfenced;
-                if is_back {
+                let was_unfenced = worker.fencing == FencingState::Unfenced;
+                if was_unfenced {
                     worker.fencing = FencingState::Fenced;
                     out.push(Command::Log(LogEvent::worker("fenced", worker)));
                 }
-                if self.clearance.fenced(&worker.record.id) {
+                if self.predecessor.record_fenced(&worker.record.id) {
                     self.queue.invalidate();
                 }
                 worker.last_renewal_unanswered = false;
                 worker.unanswered_renewals = 0;
                 worker.last_heard_ms = now_ms;
-                if hold.wait_ms == 0 {
-                    self.answer_timeout.record_answer(now_ms - hold.sent_ms);
+                if renewal.wait_ms == 0 {
+                    self.answer_timeout.record_answer(now_ms - renewal.sent_ms);
                 }
-                worker.acked_completion = worker.acked_completion.max(hold.acked_completion);
-                for end in ended {
-                    self.take_end(now_ms, key, &end, out);
+                worker.acked_completion = worker.acked_completion.max(renewal.acked_completion);
+                for completion in completions {
+                    self.take_completion(now_ms, key, &completion, out);
                 }
-                self.reconcile(now_ms, key, hold, &running, out);
-                if is_back {
-                    self.acquit_tasks(key);
+                self.reconcile(now_ms, key, renewal, &running, out);
+                if was_unfenced {
+                    self.clear_suspicion(key);
                 }
             }
-            RenewOutcome::Fenced => self.outranked(now_ms, key, out),
+            RenewOutcome::Fenced => self.on_superseded(now_ms, key, out),
             RenewOutcome::WrongIncarnation => {}
             RenewOutcome::Unhealthy | RenewOutcome::NoAnswer => {
                 if worker.fencing == FencingState::Fenced {
@@ -148,42 +150,39 @@
                 self.answer_timeout.record_unanswered();
             }
         }
-        self.settle(now_ms, out);
+        self.schedule(now_ms, out);
     }
 
-    /// Takes in the ends that an earlier hold tells, after a later one was sent.
-    fn take_late_ends(
+    /// Handles the completions in the answer to a renewal that a newer one has replaced.
+    fn take_late_completions(
         &mut self,
         now_ms: u64,
         key: WorkerKey,
         outcome: RenewOutcome,
         out: &mut Vec<Command>,
     ) {
-        if let RenewOutcome::Renewed {
-            completions: ended, ..
-        } = outcome
-        {
-            for end in ended {
-                self.take_end(now_ms, key, &end, out);
+        if let RenewOutcome::Renewed { completions, .. } = outcome {
+            for completion in completions {
+                self.take_completion(now_ms, key, &completion, out);
             }
-            self.dirty.insert(key);
-            self.settle(now_ms, out);
+            self.dirty_workers.insert(key);
+            self.schedule(now_ms, out);
         }
     }
 
-    /// Compares what a worker lists as running with what was ordered.
+    /// Compares the runs that a worker lists with those that were ordered.
     fn reconcile(
         &mut self,
         now_ms: u64,
         key: WorkerKey,
-        hold: OpenRenewal,
+        renewal: OpenRenewal,
         running: &[ListedRun],
         out: &mut Vec<Command>,
     ) {
         let Some(worker) = self.workers.get_mut(key) else {
             return;
         };
-        let mut absent = Vec::new();
+        let mut missing_positions = Vec::new();
         for (position, run) in worker.runs.iter_mut().enumerate() {
             let listed = running
                 .iter()
@@ -193,36 +192,39 @@
                     run.state = RunState::Running;
                     run.confirmed_ms = now_ms;
                 }
-                RunState::Starting(fence) if fence < hold.fence => absent.push(position),
+                RunState::Starting(fence) if fence < renewal.fence => {
+                    missing_positions.push(position)
+                }
                 RunState::Starting(_) => {}
                 RunState::Running | RunState::Stopping { .. } => {
-                    if !listed && run.confirmed_ms < hold.sent_ms {
-                        absent.push(position);
+                    if !listed && run.confirmed_ms < renewal.sent_ms {
+                        missing_positions.push(position);
                     }
                 }
             }
         }
-        let mut gone = Vec::new();
-        for position in absent.into_iter().rev() {
-            gone.push(worker.runs.swap_remove(position));
+        let mut missing_runs = Vec::new();
+        for position in missing_positions.into_iter().rev() {
+            missing_runs.push(worker.runs.swap_remove(position));
         }
-        let strangers: Vec<&ListedRun> = running
+        let unknown_runs: Vec<&ListedRun> = running
             .iter()
             .filter(|listed| worker.position(&listed.task, listed.run_id).is_none())
             .collect();
-        for run in gone {
-            let mut note = LogEvent::job("run not found", &run.task);
-            note.worker = self.workers[key].record.id.to_string();
-            out.push(Command::Log(note));
+        for run in missing_runs {
+            let mut event = LogEvent::job("run not found", &run.task);
+            event.worker = self.workers[key].record.id.to_string();
+            out.push(Command::Log(event));
             self.requeue(now_ms, &run.owner, 0);
         }
-        for listed in strangers {
-            self.take_stranger(now_ms, key, listed, out);
+        for listed in unknown_runs {
+            self.take_unknown_run(now_ms, key, listed, out);
         }
     }
 
-    /// Takes in a run of an earlier owner: its job's, if that is here.
-    fn take_stranger(
+    /// Adds a run that an earlier owner started: to its task if the job is here and the
+    /// task waits, otherwise as an orphan.
+    fn take_unknown_run(
         &mut self,
         now_ms: u64,
         key: WorkerKey,
@@ -234,52 +236,52 @@
             !self.jobs[job].stopping && self.jobs[job].tasks[index].is_waiting()
         };
         let adopted = task.filter(waiting);
-        let (owner, room, expected_ms) = match adopted {
+        let (owner, resources, expected_ms) = match adopted {
             Some((job_key, index)) => {
                 let job = &mut self.jobs[job_key];
                 job.started = true;
                 job.tasks[index].state = TaskState::Assigned(key);
                 job.tasks[index].run_id = listed.run_id;
                 let phase = &job.spec.phases[usize::from(job.tasks[index].phase)];
-                let room = placement::room_of(phase);
+                let resources = placement::resources_of(phase);
                 (
                     RunOwner::Task(job_key, index),
-                    Some(room),
+                    Some(resources),
                     phase.estimate_ms,
                 )
             }
             None => {
-                // A second run of a task that runs elsewhere is stopped at once.
+                // A duplicate run of a task that is not waiting is stopped at once.
                 let grace_ms = if task.is_some() { 0 } else { ADOPTION_GRACE_MS };
                 let stop_at_ms = now_ms + grace_ms;
                 (RunOwner::Orphan { stop_at_ms }, None, 0)
             }
         };
-        let mut note = LogEvent::job("run of previous owner found", &listed.task);
-        note.detail = format!("adopted {}", adopted.is_some());
+        let mut event = LogEvent::job("run of previous owner found", &listed.task);
+        event.detail = format!("adopted {}", adopted.is_some());
         let worker = &mut self.workers[key];
-        note.worker = worker.record.id.to_string();
-        out.push(Command::Log(note));
+        event.worker = worker.record.id.to_string();
+        out.push(Command::Log(event));
         worker.runs.push(Run {
             task: listed.task.clone(),
             run_id: listed.run_id,
             owner,
             state: RunState::Running,
-            resources: room,
+            resources,
             ordered_ms: now_ms,
             confirmed_ms: now_ms,
             estimate_ms: expected_ms,
             expected_ms,
-            timeouts: placement::patience(expected_ms, 0),
+            timeouts: placement::run_timeouts(expected_ms, 0),
         });
-        // The earlier owner may have renewed its lease just before.
+        // The earlier owner may have renewed the lease just before.
         worker.leases_expire_ms = worker
             .leases_expire_ms
             .max(now_ms + LEASE_MAX_MS + IDLE_RETRY_BACKOFF_MAX_MS);
-        self.dirty.insert(key);
+        self.dirty_workers.insert(key);
     }
 
-    /// The task of a job here, by the name that workers know.
+    /// Finds a task by the name that workers know it by.
     pub(super) fn find_task(&self, name: &str) -> Option<(JobKey, usize)> {
         let (job_id, _) = name.split_once('.')?;
         let &key = self.job_ids.get(job_id)?;
@@ -288,8 +290,8 @@
         Some((key, index))
     }
 
-    /// Expires leases and stops runs that have taken too long.
-    pub(super) fn expire(&mut self, now_ms: u64, out: &mut Vec<Command>) {
+    /// Handles expired leases and overdue runs.
+    pub(super) fn check_deadlines(&mut self, now_ms: u64, out: &mut Vec<Command>) {
         self.expire_leases(now_ms, out);
         let keys: Vec<WorkerKey> = self.workers.keys().collect();
         for key in keys {
@@ -297,22 +299,22 @@
         }
     }
 
-    /// Expires the leases of workers that have not answered for a whole lease.
+    /// Treats the runs of unresponsive workers as lost once their leases have expired.
     fn expire_leases(&mut self, now_ms: u64, out: &mut Vec<Command>) {
         let mut lost = Vec::new();
         for (key, worker) in &mut self.workers {
-            let answers = worker.fencing == FencingState::Fenced;
-            if answers || worker.runs.is_empty() || now_ms < worker.leases_expire_ms {
+            let is_fenced = worker.fencing == FencingState::Fenced;
+            if is_fenced || worker.runs.is_empty() || now_ms < worker.leases_expire_ms {
                 continue;
             }
             out.push(Command::Log(LogEvent::worker("leases expired", worker)));
             worker.health.record_failure(now_ms);
-            // What was ordered under the present fence must not start any more.
+            // Invalidates orders under the current fence that may still arrive.
             worker.raise_fence();
             lost.push((key, std::mem::take(&mut worker.runs)));
         }
         if !lost.is_empty() {
-            self.workers_lost(now_ms, lost, out);
+            self.on_workers_lost(now_ms, lost, out);
         }
     }
 }
--- a/crates/core/src/dispatch/owner/log_event.rs
+++ b/crates/core/src/dispatch/owner/log_event.rs
@@ -32,7 +32,7 @@
 
 impl LogEvent {
     /// A change of a worker's state.
-    pub fn worker(event: &'static str, worker: &Worker) -> Self {
+    pub(crate) fn worker(event: &'static str, worker: &Worker) -> Self {
         Self {
             event,
             worker: worker.record.id.to_string(),
@@ -42,7 +42,7 @@
     }
 
     /// A change of the whole pool's state.
-    pub fn pool(event: &'static str, detail: String) -> Self {
+    pub(crate) fn pool(event: &'static str, detail: String) -> Self {
         Self {
             topic: LogTopic::Pool,
             event,
@@ -52,7 +52,7 @@
     }
 
     /// A decision on a job, or on the task that `job_id` names.
-    pub fn job(event: &'static str, job_id: &str) -> Self {
+    pub(crate) fn job(event: &'static str, job_id: &str) -> Self {
         Self {
             event,
             subject: job_id.to_owned(),
@@ -61,7 +61,7 @@
     }
 
     /// The result of an order for a run.
-    pub fn run(event: &'static str, worker: &Worker, result: &OrderResult) -> Self {
+    pub(crate) fn run(event: &'static str, worker: &Worker, result: &OrderResult) -> Self {
         Self {
             event,
             subject: result.task.to_string(),
--- a/crates/core/src/dispatch/owner/order_results.rs
+++ b/crates/core/src/dispatch/owner/order_results.rs
@@ -1,23 +1,23 @@
-//! What became of starts and stops.
+//! Results of start and stop orders.
 //!
-//! A rejected order was not carried out; an order without an answer may have
-//! been, or may be yet (see [`lease_renewal`]); a refused fence ends
-//! ownership, unless the order was outranked by a later one of this owner.
+//! A rejected order was not carried out. An unanswered one may have been, or may
+//! still be (see [`lease_renewal`]). A rejected fence ends ownership, unless this
+//! owner itself has used a newer fence on the worker since.
 
 use super::*;
 
 impl Owner {
-    /// Takes in what became of a start.
-    pub fn on_start_result(&mut self, now_ms: u64, answer: &OrderResult, out: &mut Vec<Command>) {
-        if !answer.fence.same_ownership(self.fence) {
+    /// Handles the result of a start order.
+    pub fn on_start_result(&mut self, now_ms: u64, result: &OrderResult, out: &mut Vec<Command>) {
+        if !result.fence.same_ownership(self.fence) {
             return;
         }
-        let Some(worker) = self.workers.get_mut(answer.worker) else {
+        let Some(worker) = self.workers.get_mut(result.worker) else {
             return;
         };
-        let newest = answer.fence == worker.fence;
-        let position = worker.position(&answer.task, answer.run_id);
-        match answer.outcome {
+        let is_newest = result.fence == worker.fence;
+        let position = worker.position(&result.task, result.run_id);
+        match result.outcome {
             OrderOutcome::Done { clock_ms } => {
                 worker.observe_clock(now_ms, clock_ms);
                 if let Some(position) = position {
@@ -30,38 +30,38 @@
                     }
                 }
             }
-            OrderOutcome::NoAnswer if newest => {
+            OrderOutcome::NoAnswer if is_newest => {
                 self.answer_timeout.record_unanswered();
                 worker.raise_fence();
                 out.push(Command::Log(LogEvent::run(
                     "start unanswered",
                     worker,
-                    answer,
+                    result,
                 )));
             }
             OrderOutcome::NoAnswer => self.answer_timeout.record_unanswered(),
-            OrderOutcome::Fenced if newest => self.outranked(now_ms, answer.worker, out),
-            OrderOutcome::WrongIncarnation => self.life_over(now_ms, answer.worker, out),
+            OrderOutcome::Fenced if is_newest => self.on_superseded(now_ms, result.worker, out),
+            OrderOutcome::WrongIncarnation => self.on_incarnation_ended(now_ms, result.worker, out),
             OrderOutcome::Fenced | OrderOutcome::Rejected(_) => {
                 out.push(Command::Log(LogEvent::run(
                     "start rejected",
                     worker,
-                    answer,
+                    result,
                 )));
-                match answer.outcome {
+                match result.outcome {
                     OrderOutcome::Rejected(Rejection::Unhealthy) => {
                         worker.health.record_failure(now_ms)
                     }
-                    OrderOutcome::Rejected(Rejection::OldRun) => self.run_seed += RUN_LEAP,
-                    // What is known of it is wrong: look again.
+                    OrderOutcome::Rejected(Rejection::OldRun) => self.run_id_counter += RUN_ID_LEAP,
+                    // The worker's state differs from what is known of it: fence it again,
+                    // which lists its runs.
                     OrderOutcome::Rejected(_) => worker.raise_fence(),
                     _ => {}
                 }
                 if let Some(position) = position {
                     let run = worker.runs.swap_remove(position);
-                    // An order that a later one of this owner outranked says
-                    // nothing against the worker.
-                    let delay_ms = match answer.outcome {
+                    // Superseded by a newer order of this owner: no reason to wait.
+                    let delay_ms = match result.outcome {
                         OrderOutcome::Fenced => 0,
                         _ => RETRY_BACKOFF_MAX_MS,
                     };
@@ -69,32 +69,33 @@
                 }
             }
         }
-        self.dirty.insert(answer.worker);
-        self.settle(now_ms, out);
+        self.dirty_workers.insert(result.worker);
+        self.schedule(now_ms, out);
     }
 
-    /// Takes in what became of a stop; the run's end is listed by a hold.
-    pub fn on_stop_result(&mut self, now_ms: u64, answer: &OrderResult, out: &mut Vec<Command>) {
-        if !answer.fence.same_ownership(self.fence) {
+    /// Handles the result of a stop order. The run's completion is listed by a lease
+    /// renewal.
+    pub fn on_stop_result(&mut self, now_ms: u64, result: &OrderResult, out: &mut Vec<Command>) {
+        if !result.fence.same_ownership(self.fence) {
             return;
         }
-        let Some(worker) = self.workers.get_mut(answer.worker) else {
+        let Some(worker) = self.workers.get_mut(result.worker) else {
             return;
         };
-        let newest = answer.fence == worker.fence;
-        match answer.outcome {
+        let is_newest = result.fence == worker.fence;
+        match result.outcome {
             OrderOutcome::Done { clock_ms } => worker.observe_clock(now_ms, clock_ms),
-            OrderOutcome::NoAnswer if newest => worker.raise_fence(),
-            OrderOutcome::Fenced if newest => self.outranked(now_ms, answer.worker, out),
-            OrderOutcome::WrongIncarnation => self.life_over(now_ms, answer.worker, out),
+            OrderOutcome::NoAnswer if is_newest => worker.raise_fence(),
+            OrderOutcome::Fenced if is_newest => self.on_superseded(now_ms, result.worker, out),
+            OrderOutcome::WrongIncarnation => self.on_incarnation_ended(now_ms, result.worker, out),
             OrderOutcome::NoAnswer | OrderOutcome::Fenced | OrderOutcome::Rejected(_) => {}
         }
-        self.dirty.insert(answer.worker);
-        self.settle(now_ms, out);
+        self.dirty_workers.insert(result.worker);
+        self.schedule(now_ms, out);
     }
 
-    /// Another owner has taken the worker: this one is no longer the owner.
-    pub(super) fn outranked(&mut self, now_ms: u64, key: WorkerKey, out: &mut Vec<Command>) {
+    /// Gives up ownership: the worker has accepted another owner's fence.
+    pub(super) fn on_superseded(&mut self, now_ms: u64, key: WorkerKey, out: &mut Vec<Command>) {
         let worker = &mut self.workers[key];
         worker.fencing = FencingState::Superseded;
         out.push(Command::Log(LogEvent::worker("outranked", worker)));
@@ -102,20 +103,25 @@
         self.release(now_ms, out);
     }
 
-    /// The worker's life is over, and all that ran there with it.
-    pub(super) fn life_over(&mut self, now_ms: u64, key: WorkerKey, out: &mut Vec<Command>) {
+    /// Removes a worker whose incarnation has ended, with all its runs.
+    pub(super) fn on_incarnation_ended(
+        &mut self,
+        now_ms: u64,
+        key: WorkerKey,
+        out: &mut Vec<Command>,
+    ) {
         let Some(worker) = self.workers.remove(key) else {
             return;
         };
         self.worker_ids.remove(&worker.record.id);
-        if self.clearance.fenced(&worker.record.id) {
+        if self.predecessor.record_fenced(&worker.record.id) {
             self.queue.invalidate();
         }
-        self.dirty.remove(&key);
+        self.dirty_workers.remove(&key);
         out.push(Command::Log(LogEvent::worker(
             "worker incarnation ended",
             &worker,
         )));
-        self.workers_lost(now_ms, vec![(key, worker.runs)], out);
+        self.on_workers_lost(now_ms, vec![(key, worker.runs)], out);
     }
 }
--- a/crates/core/src/dispatch/owner/overdue.rs
+++ b/crates/core/src/dispatch/owner/overdue.rs
@@ -1,73 +1,78 @@
-//! Runs that take longer than they should.
+//! Polling for completions, and stopping of stalled runs.
 //!
-//! A run that should have ended may have: the answer that told its end may be
-//! lost. So its worker is asked first, and only a run that the worker has just
-//! listed as running is taken for stalled and stopped. Stops whose end is not
-//! listed are ordered again.
+//! A run that seems overdue may have completed, and the answer that listed its
+//! completion may be lost. The worker is therefore polled first, and only a run that
+//! it has just listed as running is stopped as stalled. A stop is repeated if the
+//! run's completion is not listed in time.
 
 use super::super::worker::{Run, RunTimeouts};
 use super::*;
 
-/// A stop whose end is not listed by then is ordered again: the contract
-/// grants a stop 50, and an answer takes a few.
-const STOP_AGAIN_MS: u64 = 150;
-/// What a worker said of its runs holds for so long when one is about to be
-/// taken for stalled; it is asked again otherwise.
-const HEARD_FRESH_MS: u64 = 60;
+/// Interval at which a stop is repeated. The platform's contract grants a stop 50 ms,
+/// besides the time of an answer.
+const STOP_RETRY_MS: u64 = 150;
+/// Maximum age of a worker's listing by which a run is treated as stalled.
+const LISTING_AGE_MAX_MS: u64 = 60;
 
-/// While many orders stay unanswered, a worker is polled once a run has taken its
-/// expected time, and again after this share of it ...
-const AGAIN_SHARE: f64 = 0.15;
-/// ... or this time, if that is longer: two calls fit into it.
-const AGAIN_MIN_MS: u64 = 20;
+/// While many orders stay unanswered, the interval between polls for a completion, as
+/// a share of the run's expected time.
+const REPOLL_SHARE: f64 = 0.15;
+/// Lower bound of that interval: the time of two calls.
+const REPOLL_MIN_MS: u64 = 20;
 
-/// What is to be done about a run.
-enum Due {
-    Nothing,
-    /// Its worker is asked what became of it.
-    Ask,
-    /// It is stopped.
+/// What to do about a run.
+enum OverdueAction {
+    Wait,
+    /// Poll its worker for its completion.
+    Poll,
     Stop,
-    /// It is stopped, and its worker and its task are remembered for it.
+    /// Stop it, and record the stall against its worker and its task.
     Stalled(JobKey, usize),
 }
 
-/// What the passing of time asks for; the worker last spoke at `heard_ms`.
-/// `is_lossy` tells whether many orders get no answer.
-fn due(run: &Run, now_ms: u64, heard_ms: u64, is_lossy: bool) -> Due {
+/// Decides what to do about a run of a worker that last answered at `heard_ms`.
+fn overdue_action(run: &Run, now_ms: u64, heard_ms: u64, is_lossy: bool) -> OverdueAction {
     let passed = |from_ms: u64, time_ms: u64| now_ms >= from_ms + time_ms;
     match (run.state, run.owner) {
-        (RunState::Stopping { ordered_ms }, _) if passed(ordered_ms, STOP_AGAIN_MS) => Due::Stop,
-        (RunState::Running, RunOwner::Orphan { stop_at_ms }) if now_ms >= stop_at_ms => Due::Stop,
+        (RunState::Stopping { ordered_ms }, _) if passed(ordered_ms, STOP_RETRY_MS) => {
+            OverdueAction::Stop
+        }
+        (RunState::Running, RunOwner::Orphan { stop_at_ms }) if now_ms >= stop_at_ms => {
+            OverdueAction::Stop
+        }
         (RunState::Running, RunOwner::Task(job, index)) => {
             let RunTimeouts { check_ms, stall_ms } = run.timeouts;
-            let (check_ms, again) = match is_lossy {
+            let (check_ms, is_repoll_due) = match is_lossy {
                 true => (
                     check_ms.min(run.expected_ms),
-                    passed(heard_ms, again_ms(run)),
+                    passed(heard_ms, repoll_interval_ms(run)),
                 ),
                 false => (check_ms, false),
             };
-            let checked = heard_ms >= run.ordered_ms + check_ms && !again;
-            match (passed(run.ordered_ms, stall_ms), checked) {
-                (true, _) if !passed(heard_ms, HEARD_FRESH_MS) => Due::Stalled(job, index),
-                (true, _) => Due::Ask,
-                (false, false) if passed(run.ordered_ms, check_ms) => Due::Ask,
-                (false, _) => Due::Nothing,
+            let was_polled = heard_ms >= run.ordered_ms + check_ms && !is_repoll_due;
+            match (passed(run.ordered_ms, stall_ms), was_polled) {
+                (true, _) if !passed(heard_ms, LISTING_AGE_MAX_MS) => {
+                    OverdueAction::Stalled(job, index)
+                }
+                (true, _) => OverdueAction::Poll,
+                (false, false) if passed(run.ordered_ms, check_ms) => OverdueAction::Poll,
+                (false, _) => OverdueAction::Wait,
             }
         }
-        (RunState::Starting(_) | RunState::Stopping { .. } | RunState::Running, _) => Due::Nothing,
+        (RunState::Starting(_) | RunState::Stopping { .. } | RunState::Running, _) => {
+            OverdueAction::Wait
+        }
     }
 }
 
-fn again_ms(run: &Run) -> u64 {
-    ((run.expected_ms as f64 * AGAIN_SHARE) as u64).max(AGAIN_MIN_MS)
+fn repoll_interval_ms(run: &Run) -> u64 {
+    ((run.expected_ms as f64 * REPOLL_SHARE) as u64).max(REPOLL_MIN_MS)
 }
 
 impl Owner {
-    /// Stops a worker's runs that have taken too long, and asks for their ends.
+    /// Stops the stalled runs of a worker, and polls it for completions that are due.
     pub(super) fn stop_overdue(&mut self, now_ms: u64, key: WorkerKey, out: &mut Vec<Command>) {
-        let answer_ms = self.answer_timeout.timeout_ms();
+        let answer_timeout_ms = self.answer_timeout.timeout_ms();
         let is_lossy = self.answer_timeout.is_lossy();
         let worker = &mut self.workers[key];
         if worker.fencing != FencingState::Fenced {
@@ -75,31 +80,31 @@
         }
         let target = target_of(key, worker);
         let mut stalled = Vec::new();
-        let mut asked_for = None;
+        let mut polled_task = None;
         for run in &mut worker.runs {
-            match due(run, now_ms, worker.last_heard_ms, is_lossy) {
-                Due::Nothing => continue,
-                Due::Ask => {
-                    asked_for.get_or_insert_with(|| run.task.clone());
+            match overdue_action(run, now_ms, worker.last_heard_ms, is_lossy) {
+                OverdueAction::Wait => continue,
+                OverdueAction::Poll => {
+                    polled_task.get_or_insert_with(|| run.task.clone());
                     continue;
                 }
-                Due::Stop => {}
-                Due::Stalled(job, index) => stalled.push((job, index)),
+                OverdueAction::Stop => {}
+                OverdueAction::Stalled(job, index) => stalled.push((job, index)),
             }
-            let mut note = LogEvent::job("run overdue", &run.task);
-            note.detail = format!("{:?} expected_ms {}", run.state, run.expected_ms);
-            note.worker = worker.record.id.to_string();
-            out.push(Command::Log(note));
-            stop_run(now_ms, run, target.clone(), answer_ms, out);
+            let mut event = LogEvent::job("run overdue", &run.task);
+            event.detail = format!("{:?} expected_ms {}", run.state, run.expected_ms);
+            event.worker = worker.record.id.to_string();
+            out.push(Command::Log(event));
+            stop_run(now_ms, run, target.clone(), answer_timeout_ms, out);
         }
         if !stalled.is_empty() {
             worker.health.record_failure(now_ms);
         }
-        if let Some(task) = asked_for {
-            let mut note = LogEvent::job("polling for completion", &task);
-            note.worker = worker.record.id.to_string();
-            note.last_heard_ms = Some(now_ms - worker.last_heard_ms);
-            out.push(Command::Log(note));
+        if let Some(task) = polled_task {
+            let mut event = LogEvent::job("polling for completion", &task);
+            event.worker = worker.record.id.to_string();
+            event.last_heard_ms = Some(now_ms - worker.last_heard_ms);
+            out.push(Command::Log(event));
             worker.request_poll();
         }
         for (job, index) in stalled {
--- a/crates/core/src/dispatch/owner/start_barrier.rs
+++ b/crates/core/src/dispatch/owner/start_barrier.rs
@@ -1,9 +1,10 @@
-//! When a job is safe that an earlier owner had: nothing that this one ordered
-//! can start any of its tasks.
+//! When a job that an earlier owner had is safe to start: no order of that owner can
+//! still start any of its tasks.
 //!
-//! Time makes every job safe: leases lapse. A job that only one ownership had is
-//! safe sooner. Had this owner had it itself, it knows all runs. Had its
-//! predecessor, it is safe once every worker of that one's [roster] obeys.
+//! Every job is safe once the leases of earlier owners have expired. A job that only
+//! one ownership had is safe sooner: at once if it was this ownership, which knows all
+//! its runs; if it was the predecessor, once every worker of the predecessor's
+//! [roster] has accepted the new fence.
 //!
 //! [roster]: crate::dispatch::ownership::Roster
 
@@ -11,28 +12,28 @@
 
 use super::*;
 
-/// What makes a job safe before its time.
+/// What must hold before a job that an earlier owner had may start.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum StartBarrier {
-    /// Nothing.
+    /// The leases of earlier owners must have expired.
     #[default]
     LeaseExpiry,
-    /// It is: only this owner has had it.
+    /// Nothing: only this owner has had the job.
     None,
-    /// The obedience of all workers that the predecessor may have ordered.
+    /// All workers that the predecessor used must have accepted the new fence.
     PredecessorFenced,
 }
 
-/// What is known of the ownership that this one followed.
+/// Fencing of the workers that the predecessor used.
 #[derive(Debug, Default)]
-pub(super) struct Clearance {
+pub(super) struct PredecessorFencing {
     own: Option<Holder>,
     predecessor: Option<Holder>,
-    /// Workers of the predecessor that do not obey yet.
+    /// Workers of the predecessor that have not accepted the new fence yet.
     unfenced: HashSet<Arc<str>>,
 }
 
-impl Clearance {
+impl PredecessorFencing {
     pub(super) fn new(own: Option<Holder>, predecessor: Option<Predecessor>) -> Self {
         let (predecessor, roster) = match predecessor {
             Some(known) => (Some(known.holder), known.roster),
@@ -45,8 +46,8 @@
         }
     }
 
-    /// What makes a job safe that only `holder` may have had.
-    pub(super) fn of(&self, holder: Option<&Holder>) -> StartBarrier {
+    /// The barrier of a job of which only `holder` may have started tasks.
+    pub(super) fn barrier_for(&self, holder: Option<&Holder>) -> StartBarrier {
         match holder {
             None => StartBarrier::LeaseExpiry,
             holder if holder == self.own.as_ref() => StartBarrier::None,
@@ -55,55 +56,56 @@
         }
     }
 
-    /// A worker obeys this owner, or its life is over; whether it was the last.
-    pub(super) fn fenced(&mut self, worker_id: &str) -> bool {
+    /// Records that a worker has accepted the new fence, or that its incarnation has
+    /// ended. Returns whether it was the last one.
+    pub(super) fn record_fenced(&mut self, worker_id: &str) -> bool {
         self.unfenced.remove(worker_id) && self.unfenced.is_empty()
     }
 
-    /// Whether all workers obey that the predecessor may have ordered.
     pub(super) fn is_complete(&self) -> bool {
         self.unfenced.is_empty()
     }
 }
 
 impl Owner {
-    /// Whether every worker that the predecessor may have ordered obeys.
-    pub fn all_fenced(&self) -> bool {
-        self.clearance.is_complete()
+    /// Whether all workers that the predecessor used have accepted the new fence.
+    pub(super) fn predecessor_fenced(&self) -> bool {
+        self.predecessor.is_complete()
     }
 
-    /// All workers that may be ordered here.
+    /// Ids of all workers in the table, to be stored before they are used.
     pub fn roster(&self) -> Roster {
         let workers = self.workers.values();
         workers.map(|worker| worker.record.id.clone()).collect()
     }
 
-    /// A roster is on its way to the store: it may hold, or the one before.
+    /// A write of `roster` to the store has begun. Until it has completed, only workers
+    /// that are in both rosters may be used, since the store may hold either.
     pub fn on_roster_sent(&mut self, roster: Roster) {
         self.stored_roster = Some(match self.stored_roster.take() {
             Some(before) => before.intersection(&roster).cloned().collect(),
             None => roster,
         });
-        self.mark_announced();
+        self.update_in_stored_roster();
     }
 
-    /// The store holds this roster.
+    /// The store holds `roster`: all of its workers may be used.
     pub fn on_roster_stored(&mut self, now_ms: u64, roster: Roster, out: &mut Vec<Command>) {
         self.stored_roster = Some(roster);
-        self.mark_announced();
-        self.settle(now_ms, out);
+        self.update_in_stored_roster();
+        self.schedule(now_ms, out);
     }
 
-    pub(super) fn may_use(&self, worker_id: &str) -> bool {
-        let announced = self.stored_roster.as_ref();
-        announced.is_none_or(|roster| roster.contains(worker_id))
+    pub(super) fn is_in_stored_roster(&self, worker_id: &str) -> bool {
+        let stored_roster = self.stored_roster.as_ref();
+        stored_roster.is_none_or(|roster| roster.contains(worker_id))
     }
 
-    fn mark_announced(&mut self) {
-        let announced = self.stored_roster.as_ref();
+    fn update_in_stored_roster(&mut self) {
+        let stored_roster = self.stored_roster.as_ref();
         for worker in self.workers.values_mut() {
             let id = &worker.record.id;
-            worker.in_stored_roster = announced.is_none_or(|roster| roster.contains(id));
+            worker.in_stored_roster = stored_roster.is_none_or(|roster| roster.contains(id));
         }
     }
 }
--- a/crates/core/src/dispatch/owner/stats.rs
+++ b/crates/core/src/dispatch/owner/stats.rs
@@ -49,7 +49,9 @@
             load.capacity_millicores += worker.record.capacity.cpu_millicores;
             load.free_millicores += worker.free_resources().cpu_millicores;
             for run in &worker.runs {
-                let cpu = run.resources.map_or(0, |room| room.cpu_millicores);
+                let cpu = run
+                    .resources
+                    .map_or(0, |resources| resources.cpu_millicores);
                 let end_ms = run.ordered_ms + run.expected_ms;
                 load.backlog_millicore_ms += cpu * end_ms.saturating_sub(now_ms);
             }
