--- a/crates/instance/src/clock.rs
+++ b/crates/instance/src/clock.rs
@@ -1,13 +1,13 @@
-//! The clock by which an instance judges the age of what it knows.
+//! The clock by which an instance measures the age of leases, heartbeats and reads
+//! of the store.
 //!
-//! Leases, echoes, silences and readings of the store are all judged by their age.
-//! A machine that is suspended stops `CLOCK_MONOTONIC`, and with it
-//! [`std::time::Instant`]: on waking, all that it knows would look seconds younger
-//! than it is. `CLOCK_BOOTTIME` counts that time, and no step of the time of day
-//! changes it.
+//! `CLOCK_MONOTONIC`, and with it [`std::time::Instant`], stops while the machine is
+//! suspended, so that after resuming all of these would look too recent.
+//! `CLOCK_BOOTTIME` includes the suspended time and is not affected by changes to
+//! the time of day.
 //!
 //! Timers stay on the runtime's own clock: after a suspension they fire late, and
-//! the first event that follows sees the gap.
+//! the first event that follows detects the gap.
 
 use std::cell::Cell;
 use std::rc::Rc;
@@ -15,29 +15,29 @@
 
 use nix::time::{ClockId, clock_gettime};
 
-/// A clock that starts at 0 and never goes back.
+/// A monotonic clock that starts at 0.
 #[derive(Clone, Debug)]
 pub enum Clock {
-    /// The system's clock that counts suspensions.
-    Boot {
-        /// Its reading at the start, milliseconds.
+    /// `CLOCK_BOOTTIME`, which includes suspensions.
+    BootTime {
+        /// Milliseconds of the system's clock at the start.
         origin_ms: u64,
     },
-    /// Where the system has no such clock.
-    Steady {
-        /// The start.
+    /// Fallback where `CLOCK_BOOTTIME` is unavailable.
+    Monotonic {
+        /// Time of the start.
         origin: Instant,
     },
-    /// A clock that is moved by hand, milliseconds.
+    /// A clock set by a test, in milliseconds.
     Manual(Rc<Cell<u64>>),
 }
 
 impl Clock {
-    /// A clock that starts now.
+    /// Starts the best clock that the system has.
     pub fn start() -> Self {
-        match boot_ms() {
-            Some(origin_ms) => Self::Boot { origin_ms },
-            None => Self::Steady {
+        match boot_time_ms() {
+            Some(origin_ms) => Self::BootTime { origin_ms },
+            None => Self::Monotonic {
                 origin: Instant::now(),
             },
         }
@@ -46,15 +46,15 @@
     /// Milliseconds since the start.
     pub fn now_ms(&self) -> u64 {
         match self {
-            // A clock that was there at the start does not go away.
-            Self::Boot { origin_ms } => boot_ms().unwrap_or(0).saturating_sub(*origin_ms),
-            Self::Steady { origin } => origin.elapsed().as_millis() as u64,
+            // A clock that was available at the start stays available.
+            Self::BootTime { origin_ms } => boot_time_ms().unwrap_or(0).saturating_sub(*origin_ms),
+            Self::Monotonic { origin } => origin.elapsed().as_millis() as u64,
             Self::Manual(now_ms) => now_ms.get(),
         }
     }
 }
 
-fn boot_ms() -> Option<u64> {
+fn boot_time_ms() -> Option<u64> {
     let now = clock_gettime(ClockId::CLOCK_BOOTTIME).ok()?;
     let (seconds, nanoseconds) = (now.tv_sec(), now.tv_nsec());
     Some(seconds as u64 * 1000 + nanoseconds as u64 / 1_000_000)
--- a/crates/instance/src/declarations.rs
+++ b/crates/instance/src/declarations.rs
@@ -1,66 +1,66 @@
 //! Routes and services in force.
 //!
-//! They come from the platform's store, or from another instance that read them
-//! there later; declarations are never replaced by earlier ones.
+//! They are read from the platform's store or received from another instance
+//! that read them there. Declarations are never replaced by older ones.
 
 use std::collections::{BTreeSet, HashMap};
 
 use serde::{Deserialize, Serialize};
 
-/// The operator's declarations in one version.
+/// One version of the operator's declarations.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Declarations {
-    /// Rises with each change of routes.
+    /// Version of the routes; increases with each change of them.
     pub version: u64,
-    /// Revision of the store at which all this was so; rises with each change.
+    /// Store revision of the last change to any of these declarations.
     pub revision: u64,
-    /// Services that workers may belong to.
+    /// Declared services; workers of other services are ignored.
     pub services: BTreeSet<String>,
-    /// Failure domains whose workers are to be given no new tasks.
+    /// Failure domains whose workers get no new tasks.
     pub closed_domains: BTreeSet<String>,
-    /// Queues that callers submit to.
+    /// Queues that callers submit jobs to.
     pub routes: Vec<Route>,
-    /// Largest body of a request.
+    /// Maximum size of a request body.
     pub body_bytes_max: u64,
 }
 
-/// What one reading of the store says of the declarations.
+/// Result of one read of the declarations from the store.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct DeclarationsUpdate {
-    /// Revision of the store that the reading is no older than.
+    /// Store revision as of which the declarations are known to be current.
     pub confirmed_revision: u64,
-    /// The declarations, unless they were told before; none either while the
-    /// operator has written none.
+    /// The declarations if they changed since the last read; also `None` while the
+    /// operator has declared nothing.
     pub changed: Option<Declarations>,
 }
 
-/// A queue: where its requests come in, and how its jobs are run.
+/// A queue: which requests it matches, and how its jobs are run.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Route {
-    /// Name, for people.
+    /// Display name.
     pub name: String,
-    /// Host that requests name.
+    /// Host header of matching requests, compared case-insensitively.
     pub host: String,
-    /// Start of their paths.
+    /// Path prefix of matching requests; the rest of the path is the job id.
     pub path_prefix: String,
     /// Service whose workers run the tasks.
     pub service: String,
-    /// Longest time of a request.
+    /// Timeout of a request that sets no deadline; 0 selects the default.
     pub timeout_ms: u64,
-    /// Added to the stretched work, it is the latency objective.
+    /// Fixed part of the latency objective, added to `stretch` times the critical path.
     pub slo_ms: u64,
-    /// Factor on the longest chain of work in the objective.
+    /// Factor on the job's critical path in the latency objective.
     pub stretch: f64,
-    /// 0 comes first.
+    /// Priority class; 0 is the highest.
     pub priority: u32,
-    /// Runs of a task that may fail.
+    /// Maximum number of attempts per task.
     pub attempts_max: u32,
-    /// Whether another service decides which workers may run a task.
+    /// Whether an external service decides which workers may run a task.
     pub needs_advice: bool,
 }
 
-/// Declarations in force, with their routes by host: there may be thousands,
-/// and every request looks one up.
+/// Declarations with their routes indexed by host, since every request looks up
+/// one of possibly thousands of routes.
 #[derive(Debug, Default)]
 pub struct RouteTable {
     declarations: Declarations,
@@ -68,8 +68,8 @@
 }
 
 impl RouteTable {
-    /// Indexes declarations.
-    pub fn new(declarations: Declarations) -> Self {
+    /// Builds the index.
+    pub(crate) fn new(declarations: Declarations) -> Self {
         let mut by_host: HashMap<String, Vec<usize>> = HashMap::new();
         for (index, route) in declarations.routes.iter().enumerate() {
             let host = route.host.to_ascii_lowercase();
@@ -81,27 +81,27 @@
         }
     }
 
-    /// The declarations.
+    /// Returns the underlying declarations.
     pub fn declarations(&self) -> &Declarations {
         &self.declarations
     }
 
-    /// Revision of the store at which they were in force.
-    pub fn revision(&self) -> u64 {
+    /// Store revision of the declarations.
+    pub(crate) fn revision(&self) -> u64 {
         self.declarations.revision
     }
 
-    /// Whether a service is declared; workers of others are not used.
-    pub fn has_service(&self, service: &str) -> bool {
+    /// Whether a service is declared; workers of undeclared services are not used.
+    pub(crate) fn has_service(&self, service: &str) -> bool {
         self.declarations.services.contains(service)
     }
 
-    /// Whether workers of a failure domain are to be given no new tasks.
-    pub fn is_closed(&self, failure_domain: &str) -> bool {
+    /// Whether a failure domain is closed to new tasks.
+    pub(crate) fn is_closed(&self, failure_domain: &str) -> bool {
         self.declarations.closed_domains.contains(failure_domain)
     }
 
-    /// The route with the longest prefix that a request matches.
+    /// Finds the matching route with the longest path prefix.
     pub fn find_route(&self, host: &str, path: &str) -> Option<&Route> {
         let routes = self.by_host.get(&host.to_ascii_lowercase())?;
         let routes = routes.iter().map(|&index| &self.declarations.routes[index]);
--- a/crates/instance/src/instance.rs
+++ b/crates/instance/src/instance.rs
@@ -1,29 +1,28 @@
-//! The state of one instance and what changes it.
+//! State and event handling of one instance.
 //!
-//! All state is behind one cell on one thread: a quarter of a core serves an
-//! instance, and one thread spares it every hand-over between threads. Each
-//! event borrows the state, lets the decisions push commands, and carries
-//! these out after the borrow has ended; commands to this instance itself are
-//! events again.
+//! All state is in one cell on one thread, since an instance needs a fraction of a
+//! core. Each event borrows the state and collects commands of the dispatch logic,
+//! which are executed after the borrow has ended. Commands that concern this
+//! instance itself produce further commands.
 //!
-//! * [`effects`]: what the decisions' commands do.
-//! * [`calls`]: orders to workers and claims to the store, and their answers.
-//! * [`declared`]: declarations in force, and what they say of pools here.
+//! * [`effects`]: executes the commands of the dispatch logic.
+//! * [`calls`]: orders to workers and claim writes to the store.
+//! * [`declared`]: the declarations in force.
 //! * [`peers`]: links to other instances.
-//! * [`retire`]: closing links that neither side needs.
-//! * [`frames`]: what goes over them.
-//! * [`beats`]: heartbeats to all of them.
-//! * [`workers`]: the workers of pools, from the registry and from their owners.
-//! * [`stop`]: the planned stop.
+//! * [`retire`]: closes links that neither side needs.
+//! * [`frames`]: sends and handles frames.
+//! * [`heartbeats`]: sends heartbeats and closes silent links.
+//! * [`workers`]: assigns workers to the owners of their pools.
+//! * [`shutdown`]: graceful shutdown.
 
-mod beats;
 mod calls;
 mod declared;
 mod effects;
 mod frames;
+mod heartbeats;
 mod peers;
 mod retire;
-mod stop;
+mod shutdown;
 mod workers;
 
 use std::cell::RefCell;
@@ -50,82 +49,78 @@
 use crate::settings::InstanceSettings;
 use effects::Effects;
 use peers::Peers;
-pub use stop::ShutdownOutcome;
+pub use shutdown::ShutdownOutcome;
 
-/// Period of the instance's ticks: retries and lapses are decided this often.
+/// Interval of the instance's timer, which drives retries and timeouts.
 const TICK_MS: u64 = 25;
-/// A tick this much late is a stall of the process: peers have closed its links and
-/// its leases may have expired. Peers run its jobs anew only after
-/// [`LINK_SILENT_MS`] and [`DELEGATED_GAP_MS`] together.
+/// A tick that is this late counts as a stall of the process: peers have closed its
+/// links, and its leases may have expired. Peers run its jobs again only after
+/// [`LINK_SILENT_MS`] plus [`DELEGATED_GAP_MS`].
 ///
 /// [`LINK_SILENT_MS`]: trefoil_core::dispatch::limits::LINK_SILENT_MS
 /// [`DELEGATED_GAP_MS`]: trefoil_core::dispatch::limits::DELEGATED_GAP_MS
-const STALL_MS: u64 = 900;
+const STALL_THRESHOLD_MS: u64 = 900;
 
-/// The store is read often for so long for the successor of an owner that was
-/// lost: a claim takes two seconds at the most.
-const UNSETTLED_MAX_MS: u64 = 5000;
+/// How long the store is read often to find the successor of a lost owner. A claim
+/// takes at most two seconds.
+const SUCCESSOR_WAIT_MAX_MS: u64 = 5000;
 
-/// One instance; `E` reaches the platform.
-pub struct Instance<E> {
-    /// What it runs with.
+/// One instance; `P` implements the interfaces to the platform.
+#[expect(missing_docs, reason = "fields explain themselves")]
+pub struct Instance<P> {
     pub settings: InstanceSettings,
-    /// The root logger.
     pub log: Logger,
-    /// Counters and histograms.
     pub metrics: Metrics,
-    /// The platform.
-    pub edge: E,
-    /// This start of the instance.
-    pub me: Node,
-    /// Wakes the feeds that read the store.
-    pub store_poke: Notify,
-    /// Tells that declarations came in force.
+    pub(crate) platform: P,
+    /// Identity of this incarnation, as other instances see it.
+    pub(crate) node: Node,
+    /// Requests a read of the store before the next periodic one.
+    pub(crate) store_read_requested: Notify,
+    /// Notifies that new declarations are in force.
     declarations_changed: Notify,
     clock: Clock,
     state: RefCell<State>,
 }
 
-/// What changes.
+/// Mutable state of an instance.
 pub(crate) struct State {
     ownership: Ownership,
     owners: BTreeMap<String, Owner>,
     entry: Entry,
     peers: Peers,
-    declared: declared::Declared,
+    declared: declared::DeclarationState,
     worker_records: Vec<WorkerRecord>,
-    /// Workers of the failure domain's pools, as their owners last told.
+    /// Workers of the own failure domain's pools, as last reported by their owners.
     pool_workers: HashMap<String, Vec<WorkerRecord>>,
     pool_count: u32,
     waiters: HashMap<Ticket, oneshot::Sender<Answer>>,
     next_ticket: Ticket,
     ticks: u64,
-    ticked_ms: u64,
-    /// When anything last happened here; ticks do all the while.
-    active_ms: u64,
+    last_tick_ms: u64,
+    /// Time of the last event or tick, by which stalls are detected.
+    last_active_ms: u64,
     store_read_ms: Option<u64>,
-    /// Since when a wanted owner has not been linked.
-    unsettled_since_ms: Option<u64>,
+    /// Since when a link to the owner of some pool has been missing.
+    awaiting_successor_since_ms: Option<u64>,
     leaving: bool,
-    /// Failure domain of this instance.
-    home: String,
+    failure_domain: String,
 }
 
-impl<E: Store + WorkerClient + 'static> Instance<E> {
-    /// An instance that knows nothing yet.
-    pub fn new(settings: InstanceSettings, log: Logger, metrics: Metrics, edge: E) -> Rc<Self> {
-        Self::with_clock(settings, log, metrics, edge, Clock::start())
+impl<P: Store + WorkerClient + 'static> Instance<P> {
+    /// Creates an instance that uses the system's clock.
+    pub fn new(settings: InstanceSettings, log: Logger, metrics: Metrics, platform: P) -> Rc<Self> {
+        Self::with_clock(settings, log, metrics, platform, Clock::start())
     }
 
-    /// The same with a clock of the caller's.
+    /// Creates an instance with the given clock.
     pub fn with_clock(
         settings: InstanceSettings,
         log: Logger,
         metrics: Metrics,
-        edge: E,
+        platform: P,
         clock: Clock,
     ) -> Rc<Self> {
-        let me = Node {
+        let node = Node {
             name: settings.instance.clone(),
             incarnation: unix_ms(),
             failure_domain: settings.failure_domain.clone(),
@@ -133,43 +128,43 @@
             weight_millicores: settings.weight_millicores(),
         };
         let state = State {
-            ownership: Ownership::new(0, me.clone()),
+            ownership: Ownership::new(0, node.clone()),
             owners: BTreeMap::new(),
             entry: Entry::new(&settings.failure_domain),
             peers: Peers::default(),
-            declared: declared::Declared::default(),
+            declared: declared::DeclarationState::default(),
             worker_records: Vec::new(),
             pool_workers: HashMap::new(),
             pool_count: 0,
             waiters: HashMap::new(),
             next_ticket: 0,
             ticks: 0,
-            ticked_ms: 0,
-            active_ms: 0,
+            last_tick_ms: 0,
+            last_active_ms: 0,
             store_read_ms: None,
-            unsettled_since_ms: None,
+            awaiting_successor_since_ms: None,
             leaving: false,
-            home: settings.failure_domain.clone(),
+            failure_domain: settings.failure_domain.clone(),
         };
         Rc::new(Self {
             settings,
             log,
             metrics,
-            edge,
-            me,
-            store_poke: Notify::new(),
+            platform,
+            node,
+            store_read_requested: Notify::new(),
             declarations_changed: Notify::new(),
             clock,
             state: RefCell::new(state),
         })
     }
 
-    /// Milliseconds since the start, suspensions included.
-    pub fn now_ms(&self) -> u64 {
+    /// Milliseconds since the start, including suspensions.
+    pub(crate) fn now_ms(&self) -> u64 {
         self.clock.now_ms()
     }
 
-    /// Passes time until the process ends.
+    /// Runs the instance's timer until the process ends.
     pub async fn tick_forever(self: Rc<Self>) {
         let mut ticks = tokio::time::interval(Duration::from_millis(TICK_MS));
         ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
@@ -180,41 +175,41 @@
     }
 
     fn tick(self: &Rc<Self>) {
-        self.change(|state, now_ms, effects| {
+        self.update(|state, now_ms, effects| {
             state.entry.tick(now_ms, &mut effects.entry);
             state.ownership.tick(now_ms, &mut effects.ownership);
-            state.each_owner(effects, |owner, out| owner.tick(now_ms, out));
+            state.for_each_owner(effects, |owner, out| owner.tick(now_ms, out));
             state.ticks += 1;
-            // A busy process reads heartbeats late.
-            let late_ms = now_ms.saturating_sub(state.ticked_ms + TICK_MS);
-            state.peers.extend_silence_limits(late_ms);
+            // A tick that is late means that heartbeats were read late too.
+            let late_ms = now_ms.saturating_sub(state.last_tick_ms + TICK_MS);
+            state.peers.extend_liveness_timeouts(late_ms);
             state.entry.extend_silence_limits(late_ms);
-            state.ticked_ms = now_ms;
+            state.last_tick_ms = now_ms;
         });
         if self.state.borrow().ticks.is_multiple_of(BEAT_MS / TICK_MS) {
-            self.beat();
-            self.measure();
+            self.send_heartbeats();
+            self.update_gauges();
         }
     }
 
-    /// Discards all beliefs that rest on time if the process stalled: it was frozen,
-    /// or the machine suspended.
+    /// Discards all state that may have expired if the process was stopped or the
+    /// machine suspended.
     fn detect_stall(self: &Rc<Self>, state: &mut State, now_ms: u64, effects: &mut Effects) {
-        let late_ms = now_ms.saturating_sub(state.active_ms + TICK_MS);
-        state.active_ms = now_ms;
-        if late_ms < STALL_MS {
+        let late_ms = now_ms.saturating_sub(state.last_active_ms + TICK_MS);
+        state.last_active_ms = now_ms;
+        if late_ms < STALL_THRESHOLD_MS {
             return;
         }
         warn!(self.log, "process stalled"; "late_ms" => late_ms);
         state.ownership.stalled(now_ms, &mut effects.ownership);
-        self.drop_links(state, now_ms, effects);
-        // What was read of the store is as old.
+        self.close_all_links(state, now_ms, effects);
+        // The last read of the store is outdated as well.
         state.store_read_ms = None;
-        self.store_poke.notify_waiters();
+        self.store_read_requested.notify_waiters();
     }
 
-    /// Lets one event change the state, then carries out what was decided.
-    fn change<T>(self: &Rc<Self>, event: impl FnOnce(&mut State, u64, &mut Effects) -> T) -> T {
+    /// Applies one event to the state, then executes the resulting commands.
+    fn update<T>(self: &Rc<Self>, event: impl FnOnce(&mut State, u64, &mut Effects) -> T) -> T {
         let now_ms = self.now_ms();
         let mut effects = Effects::default();
         let result = {
@@ -222,15 +217,15 @@
             self.detect_stall(&mut state, now_ms, &mut effects);
             event(&mut state, now_ms, &mut effects)
         };
-        self.carry_out(effects);
+        self.execute(effects);
         result
     }
 
-    /// Runs a caller's job and awaits its answer; a caller that goes away
-    /// cancels it.
+    /// Submits a caller's job and waits for its answer; dropping the future cancels
+    /// the job.
     pub async fn submit(self: &Rc<Self>, spec: JobSpec, timeout_ms: u64) -> Answer {
         let (sender, answer) = oneshot::channel();
-        let ticket = self.change(|state, now_ms, effects| {
+        let ticket = self.update(|state, now_ms, effects| {
             let ticket = state.next_ticket;
             state.next_ticket += 1;
             state.waiters.insert(ticket, sender);
@@ -251,41 +246,43 @@
         answer
     }
 
-    /// Whether callers' requests can be served here.
+    /// Whether the instance can serve callers' requests.
     pub fn is_ready(&self) -> bool {
         let state = self.state.borrow();
         !state.leaving && state.declared.table().is_some() && state.entry.is_served()
     }
 
-    /// Whether a planned stop is under way.
+    /// Whether the instance is shutting down.
     pub fn is_leaving(&self) -> bool {
         self.state.borrow().leaving
     }
 
-    /// Whether it owns any pool.
+    /// Whether the instance owns any pool.
     pub fn owns_pools(&self) -> bool {
         !self.state.borrow().owners.is_empty()
     }
 
-    /// Whether it is this instance's turn to lay out the pools of its failure
-    /// domain.
-    pub fn may_lay_out(&self) -> bool {
+    /// Whether the failure domain has no pools yet and it is this instance's turn to
+    /// create them.
+    pub(crate) fn should_create_pools(&self) -> bool {
         let state = self.state.borrow();
         let pairs_before = state.ownership.listed_before() as u64 / 2;
         let turn_ms = POOLS_SETTLE_MS + pairs_before * POOLS_STAGGER_MS;
         state.pool_count == 0 && self.now_ms() >= turn_ms
     }
 
-    /// Takes in the store's instances and claims.
-    ///
-    /// The reading began at `began_ms`.
-    pub fn deployment_read(self: &Rc<Self>, deployment: DeploymentState, began_ms: u64) {
-        self.change(|state, now_ms, effects| {
+    /// Applies the result of a read of the store that began at `began_ms`.
+    pub(crate) fn apply_deployment_state(
+        self: &Rc<Self>,
+        deployment: DeploymentState,
+        began_ms: u64,
+    ) {
+        self.update(|state, now_ms, effects| {
             state.store_read_ms = Some(began_ms);
             for (failure_domain, &count) in &deployment.pool_counts {
                 state.ownership.set_pool_count(failure_domain, count);
             }
-            let count = deployment.pool_counts.get(&self.me.failure_domain);
+            let count = deployment.pool_counts.get(&self.node.failure_domain);
             state.pool_count = count.copied().unwrap_or(state.pool_count);
             state.ownership.set_members(now_ms, deployment.nodes);
             state.entry.set_home_pools(state.ownership.home_pools());
@@ -301,45 +298,47 @@
         });
     }
 
-    /// Takes in the registry's workers of this failure domain.
-    pub fn workers_read(self: &Rc<Self>, records: Vec<WorkerRecord>) {
-        self.change(|state, now_ms, effects| {
+    /// Applies the registered workers of this failure domain.
+    pub(crate) fn apply_workers(self: &Rc<Self>, records: Vec<WorkerRecord>) {
+        self.update(|state, now_ms, effects| {
             state.worker_records = records;
-            state.deal_workers(now_ms, effects);
+            state.assign_workers(now_ms, effects);
         });
     }
 
-    /// Whether an owner that this instance wants a link with may have a
-    /// successor that only the store tells of; only for a while, since it may
-    /// have none.
-    pub fn is_unsettled(&self) -> bool {
+    /// Whether a lost owner may have a successor that is known only from the store.
+    /// Returns `false` after [`SUCCESSOR_WAIT_MAX_MS`], since there may be none.
+    pub(crate) fn is_awaiting_successor(&self) -> bool {
         let mut state = self.state.borrow_mut();
         if state.ownership.is_settled() {
-            state.unsettled_since_ms = None;
+            state.awaiting_successor_since_ms = None;
             return false;
         }
         let now_ms = self.now_ms();
-        let since_ms = *state.unsettled_since_ms.get_or_insert(now_ms);
-        now_ms < since_ms + UNSETTLED_MAX_MS
+        let since_ms = *state.awaiting_successor_since_ms.get_or_insert(now_ms);
+        now_ms < since_ms + SUCCESSOR_WAIT_MAX_MS
     }
 
-    /// Whether some owner read the store in the last second, so that this
-    /// instance can leave that to it.
-    pub fn store_is_watched(&self) -> bool {
-        self.state.borrow().peers.store_is_fresh(self.now_ms())
+    /// Whether a linked owner has reported a recent read of the store.
+    pub(crate) fn owner_reads_store(&self) -> bool {
+        self.state
+            .borrow()
+            .peers
+            .any_peer_reads_store(self.now_ms())
     }
 
-    fn measure(&self) {
+    fn update_gauges(&self) {
         let state = self.state.borrow();
         let sizes = state.owners.values().map(Owner::sizes);
-        self.metrics.sizes(state.entry.len(), sizes.sum());
-        self.metrics.closed(state.is_closed());
-        self.metrics.unreadable(self.edge.unreadable_entries());
+        self.metrics.set_sizes(state.entry.len(), sizes.sum());
+        self.metrics.set_closed(state.is_closed());
+        self.metrics
+            .set_unreadable_entries(self.platform.unreadable_entries());
     }
 }
 
 impl State {
-    /// Lets the owner of a pool decide, if this instance has it.
+    /// Calls the owner of a pool, if this instance owns it, and queues its commands.
     fn with_owner<T>(
         &mut self,
         pool: &str,
@@ -354,8 +353,8 @@
         Some(result)
     }
 
-    /// Lets every owner here decide.
-    fn each_owner(
+    /// Calls all owners of this instance, and queues their commands.
+    fn for_each_owner(
         &mut self,
         effects: &mut Effects,
         mut event: impl FnMut(&mut Owner, &mut Vec<owner::Command>),
@@ -366,7 +365,8 @@
         }
     }
 
-    /// Hands a job to the owner of a pool; false if that is not here.
+    /// Delegates a job to the owner of a pool; returns `false` if this instance does
+    /// not own the pool.
     fn delegate(
         &mut self,
         origin: Origin,
@@ -386,15 +386,15 @@
     }
 }
 
-/// Tells the entry when its caller's request is over.
-struct TicketGuard<E: Store + WorkerClient + 'static> {
-    instance: Rc<Instance<E>>,
+/// Removes a caller's request when its future is dropped.
+struct TicketGuard<P: Store + WorkerClient + 'static> {
+    instance: Rc<Instance<P>>,
     ticket: Ticket,
 }
 
-impl<E: Store + WorkerClient + 'static> Drop for TicketGuard<E> {
+impl<P: Store + WorkerClient + 'static> Drop for TicketGuard<P> {
     fn drop(&mut self) {
-        self.instance.change(|state, _, effects| {
+        self.instance.update(|state, _, effects| {
             state.waiters.remove(&self.ticket);
             state.entry.caller_left(self.ticket, &mut effects.entry);
         });
--- a/crates/instance/src/instance/calls.rs
+++ b/crates/instance/src/instance/calls.rs
@@ -1,4 +1,4 @@
-//! Orders to workers and claims to the store, and their answers.
+//! Asynchronous calls: orders to workers, and claim writes to the store.
 
 use std::sync::Arc;
 use std::time::Instant;
@@ -9,7 +9,7 @@
 
 use super::*;
 
-impl<E: Store + WorkerClient + 'static> Instance<E> {
+impl<P: Store + WorkerClient + 'static> Instance<P> {
     pub(super) fn send_start(self: &Rc<Self>, pool: String, order: StartOrder) {
         info!(self.log, #WORK_TAG, "start"; "task" => &*order.task, "run" => order.run_id,
             "worker" => &*order.target.worker_id, "fence" => order.target.fence.token());
@@ -17,9 +17,9 @@
         let instance = Rc::clone(self);
         tokio::task::spawn_local(async move {
             let sent = Instant::now();
-            let outcome = instance.edge.start(&order).await;
+            let outcome = instance.platform.start(&order).await;
             instance.metrics.start_answer_ms.observe(elapsed_ms(sent));
-            let answer = answered(order.target, order.task, order.run_id, outcome);
+            let answer = order_result(order.target, order.task, order.run_id, outcome);
             instance.with_owner(&pool, |owner, now_ms, out| {
                 owner.start_answered(now_ms, &answer, out)
             });
@@ -32,8 +32,8 @@
         self.metrics.stops.inc();
         let instance = Rc::clone(self);
         tokio::task::spawn_local(async move {
-            let outcome = instance.edge.stop(&order).await;
-            let answer = answered(order.target, order.task, order.run_id, outcome);
+            let outcome = instance.platform.stop(&order).await;
+            let answer = order_result(order.target, order.task, order.run_id, outcome);
             instance.with_owner(&pool, |owner, now_ms, out| {
                 owner.stop_answered(now_ms, &answer, out)
             });
@@ -44,7 +44,7 @@
         self.metrics.lease_renewals.inc();
         let instance = Rc::clone(self);
         tokio::task::spawn_local(async move {
-            let outcome = instance.edge.renew(&order).await;
+            let outcome = instance.platform.renew(&order).await;
             let (worker, fence) = (order.target.worker, order.target.fence);
             let number = order.number;
             instance.with_owner(&pool, |owner, now_ms, out| {
@@ -53,14 +53,14 @@
         });
     }
 
-    /// Lets an answer change the owner of a pool, if that is still here. Fences
-    /// tell answers to an earlier ownership apart.
+    /// Passes the result of a call to the owner of a pool, if this instance still owns
+    /// it. The owner recognizes results for an earlier ownership by their fence.
     fn with_owner(
         self: &Rc<Self>,
         pool: &str,
         event: impl FnOnce(&mut Owner, u64, &mut Vec<owner::Command>),
     ) {
-        self.change(|state, now_ms, effects| {
+        self.update(|state, now_ms, effects| {
             state.with_owner(pool, effects, |owner, out| event(owner, now_ms, out));
         });
     }
@@ -68,19 +68,19 @@
     pub(super) fn send_claim(self: &Rc<Self>, record: ClaimRecord, revision: u64) {
         let instance = Rc::clone(self);
         tokio::task::spawn_local(async move {
-            let write = instance.edge.write_claim(&record, revision).await;
+            let write = instance.platform.write_claim(&record, revision).await;
             let claim = &record.claim;
             info!(instance.log, "claim written"; "pool" => &claim.pool, "term" => claim.term, "outcome" => ?write);
-            instance.change(|state, now_ms, effects| {
+            instance.update(|state, now_ms, effects| {
                 let out = &mut effects.ownership;
                 state.ownership.claim_written(now_ms, &record, &write, out);
             });
-            instance.store_poke.notify_waiters();
+            instance.store_read_requested.notify_waiters();
         });
     }
 }
 
-fn answered(target: Target, task: Arc<str>, run_id: u64, outcome: OrderOutcome) -> Answered {
+fn order_result(target: Target, task: Arc<str>, run_id: u64, outcome: OrderOutcome) -> Answered {
     Answered {
         worker: target.worker,
         fence: target.fence,
@@ -90,7 +90,6 @@
     }
 }
 
-/// Milliseconds since `start`.
 fn elapsed_ms(start: Instant) -> f64 {
     start.elapsed().as_secs_f64() * 1e3
 }
--- a/crates/instance/src/instance/declared.rs
+++ b/crates/instance/src/instance/declared.rs
@@ -1,56 +1,54 @@
-//! Declarations in force, and what they say of the pools here.
+//! The declarations in force.
 //!
-//! Every reading of the store and every peer's word carries the revision of the
-//! store by which it is known, so that an answer that was held up never takes
-//! the place of a later one.
+//! They are updated from reads of the store and from peers. Both carry a store
+//! revision, so that a delayed response never replaces a newer one.
 
 use crate::declarations::{Declarations, DeclarationsUpdate, RouteTable};
 
 use super::*;
 
-/// How long jobs that have begun may start tasks in a failure domain that was
-/// closed: callers wait 1500 for an answer of use, so that a job which still waits
-/// for a task by then has lost its caller.
-const BEGUN_MAX_MS: u64 = 1500;
+/// How long jobs that were already running may start tasks in a failure domain that
+/// was closed. Callers give up after this time.
+const RUNNING_JOBS_GRACE_MAX_MS: u64 = 1500;
 
-/// Share of the time that the operator grants in which begun jobs may start
-/// tasks: the rest is for calls that are held up, and for clocks.
-const BEGUN_SHARE: f64 = 0.5;
+/// Share of `close_within_ms` during which running jobs may start tasks; the rest is
+/// a margin for delayed calls and clock drift.
+const RUNNING_JOBS_GRACE_SHARE: f64 = 0.5;
 
-/// A request waits so long for an instance's first declarations: the store
-/// answers in 4, and an instance of a tenth of a core has read them after 100.
-const FIRST_WAIT_MS: u64 = 250;
+/// Maximum wait of a request for the first declarations. An instance with little CPU
+/// has read them after 100 ms.
+const FIRST_DECLARATIONS_WAIT_MS: u64 = 250;
 
-/// What is known of the declarations.
+/// The declarations in force, and how recently they were confirmed.
 #[derive(Debug, Default)]
-pub(super) struct Declared {
+pub(super) struct DeclarationState {
     table: Option<Rc<RouteTable>>,
-    /// Revision of the store up to which `table` is known to be in force.
+    /// Store revision up to which `table` is known to be current.
     confirmed_revision: u64,
-    /// When the last reading began that confirmed it.
+    /// Start of the last read of the store that confirmed `table`.
     confirmed_ms: Option<u64>,
-    /// Since when others have had newer ones.
+    /// Since when a peer has had newer declarations.
     pub(super) behind_since_ms: Option<u64>,
 }
 
-impl Declared {
-    /// Declarations in force; none before the first.
+impl DeclarationState {
+    /// Returns the declarations in force, if any have been received.
     pub(super) fn table(&self) -> Option<&Rc<RouteTable>> {
         self.table.as_ref()
     }
 
-    /// Revision at which they came in force; 0 before the first.
+    /// Store revision of the declarations in force; 0 if there are none.
     pub(super) fn revision(&self) -> u64 {
         self.table.as_ref().map_or(0, |table| table.revision())
     }
 
-    /// Whether a peer with declarations of this revision may know more.
+    /// Whether a peer with declarations of this revision may have newer ones.
     pub(super) fn is_behind(&self, revision: u64) -> bool {
         revision > self.confirmed_revision.max(self.revision())
     }
 
-    /// Declarations whose routes are of no earlier version than those in force.
-    fn without_going_back(&self, declarations: Declarations) -> Declarations {
+    /// Replaces the routes of `declarations` if those in force have a newer version.
+    fn with_newest_routes(&self, declarations: Declarations) -> Declarations {
         let known = self.table.as_ref().map(|table| table.declarations());
         match known.filter(|known| declarations.version < known.version) {
             Some(known) => Declarations {
@@ -63,31 +61,33 @@
     }
 }
 
-impl<E: Store + WorkerClient + 'static> Instance<E> {
-    /// Declarations in force; none before the first.
-    pub fn declarations(&self) -> Option<Rc<RouteTable>> {
+impl<P: Store + WorkerClient + 'static> Instance<P> {
+    /// Returns the declarations in force, if any have been received.
+    pub(crate) fn declarations(&self) -> Option<Rc<RouteTable>> {
         self.state.borrow().declared.table.clone()
     }
 
-    /// Declarations in force; where there are none yet, those that come in force
-    /// within a moment.
-    ///
-    /// Load pattern: all instances start at once, and callers come before an
-    /// instance has read the store, which takes 20 to 100 ms.
+    /// Returns the declarations in force, waiting for the first ones for a limited
+    /// time: after a start of all instances at once, callers connect before the
+    /// store has been read.
     pub async fn wait_for_declarations(&self) -> Option<Rc<RouteTable>> {
         let changed = self.declarations_changed.notified();
         if let Some(table) = self.declarations() {
             return Some(table);
         }
-        let wait = Duration::from_millis(FIRST_WAIT_MS);
-        // What is in force then counts, however the wait ended.
+        let wait = Duration::from_millis(FIRST_DECLARATIONS_WAIT_MS);
+        // The declarations may be in force even if the wait timed out.
         let _ = tokio::time::timeout(wait, changed).await;
         self.declarations()
     }
 
-    /// Takes in a reading of the store that began at `began_ms`.
-    pub fn declarations_read(self: &Rc<Self>, read: DeclarationsUpdate, began_ms: u64) {
-        self.change(|state, now_ms, effects| {
+    /// Applies the result of a read of the store that began at `began_ms`.
+    pub(crate) fn apply_stored_declarations(
+        self: &Rc<Self>,
+        read: DeclarationsUpdate,
+        began_ms: u64,
+    ) {
+        self.update(|state, now_ms, effects| {
             if read.confirmed_revision
                 < state
                     .declared
@@ -97,7 +97,7 @@
                 return;
             }
             if let Some(declarations) = read.changed {
-                self.put_in_force(state, declarations, now_ms, effects);
+                self.activate_declarations(state, declarations, now_ms, effects);
             }
             state.declared.confirmed_revision = read.confirmed_revision;
             if state.declared.table.is_some() {
@@ -106,17 +106,17 @@
         });
     }
 
-    /// Takes in what a peer says is in force.
-    pub(super) fn declarations_told(self: &Rc<Self>, declarations: Declarations) {
-        self.change(|state, now_ms, effects| {
+    /// Applies declarations sent by a peer.
+    pub(super) fn apply_peer_declarations(self: &Rc<Self>, declarations: Declarations) {
+        self.update(|state, now_ms, effects| {
             let known = state.declared.table.is_some();
             if !known || state.declared.is_behind(declarations.revision) {
-                self.put_in_force(state, declarations, now_ms, effects);
+                self.activate_declarations(state, declarations, now_ms, effects);
             }
         });
     }
 
-    fn put_in_force(
+    fn activate_declarations(
         &self,
         state: &mut State,
         declarations: Declarations,
@@ -124,7 +124,7 @@
         effects: &mut Effects,
     ) {
         let declared = &mut state.declared;
-        let declarations = declared.without_going_back(declarations);
+        let declarations = declared.with_newest_routes(declarations);
         let confirmed_ms = declared.confirmed_ms;
         info!(self.log, "declarations in force"; "version" => declarations.version,
             "revision" => declarations.revision, "before" => declared.revision(),
@@ -134,32 +134,32 @@
         declared.table = Some(Rc::new(RouteTable::new(declarations)));
         declared.behind_since_ms = None;
         self.declarations_changed.notify_waiters();
-        state.deal_workers(now_ms, effects);
-        let begun_until_ms = confirmed_ms.map_or(now_ms, |confirmed_ms| {
-            let granted_ms = self.settings.close_within_ms as f64 * BEGUN_SHARE;
-            (now_ms + BEGUN_MAX_MS).min(confirmed_ms + granted_ms as u64)
+        state.assign_workers(now_ms, effects);
+        let running_jobs_until_ms = confirmed_ms.map_or(now_ms, |confirmed_ms| {
+            let granted_ms = self.settings.close_within_ms as f64 * RUNNING_JOBS_GRACE_SHARE;
+            (now_ms + RUNNING_JOBS_GRACE_MAX_MS).min(confirmed_ms + granted_ms as u64)
         });
         for pool in state.owners.keys().cloned().collect::<Vec<_>>() {
-            state.apply_closure(&pool, now_ms, begun_until_ms, effects);
+            state.apply_closure(&pool, now_ms, running_jobs_until_ms, effects);
         }
     }
 }
 
 impl State {
-    /// Whether the own failure domain takes no new tasks, as far as is known.
+    /// Whether the own failure domain is closed to new tasks.
     pub(super) fn is_closed(&self) -> bool {
         let table = self.declared.table.as_ref();
-        table.is_some_and(|table| table.is_closed(&self.home))
+        table.is_some_and(|table| table.is_closed(&self.failure_domain))
     }
 
-    /// Lets the owner of a pool here start tasks, or not, as declared: tasks of
-    /// begun jobs until `begun_until_ms` in any case. It starts none before the
-    /// first declarations.
+    /// Closes or reopens the owner of a pool as declared. A closed owner may start
+    /// tasks of running jobs until `running_jobs_until_ms`. Before the first
+    /// declarations, the owner starts no tasks and this does nothing.
     pub(super) fn apply_closure(
         &mut self,
         pool: &str,
         now_ms: u64,
-        begun_until_ms: u64,
+        running_jobs_until_ms: u64,
         effects: &mut Effects,
     ) {
         if self.declared.table.is_none() {
@@ -167,7 +167,7 @@
         }
         let closed = self.is_closed();
         self.with_owner(pool, effects, |owner, out| match closed {
-            true => owner.close(now_ms, begun_until_ms, out),
+            true => owner.close(now_ms, running_jobs_until_ms, out),
             false => owner.reopen(now_ms, out),
         });
     }
--- a/crates/instance/src/instance/effects.rs
+++ b/crates/instance/src/instance/effects.rs
@@ -1,7 +1,7 @@
-//! Commands of the decisions, carried out after the state's borrow has ended.
+//! Execution of the dispatch logic's commands, after the state's borrow has ended.
 //!
-//! Commands to this instance itself lead to further ones; all are carried out
-//! in order, before the event that began it is over.
+//! Commands that concern this instance itself produce further commands. All are
+//! executed in order before the event that caused them returns.
 
 use std::collections::VecDeque;
 
@@ -11,7 +11,7 @@
 
 use super::*;
 
-/// Commands of the decisions, to be carried out after the borrow.
+/// Commands collected while the state is borrowed.
 #[derive(Default)]
 pub(super) struct Effects {
     pub(super) entry: Vec<entry::Command>,
@@ -19,35 +19,34 @@
     pub(super) ownership: Vec<ownership::Command>,
 }
 
-/// One command, whoever gave it.
 enum Effect {
     Entry(entry::Command),
     Owner(String, owner::Command),
     Ownership(ownership::Command),
 }
 
-impl<E: Store + WorkerClient + 'static> Instance<E> {
-    pub(super) fn carry_out(self: &Rc<Self>, effects: Effects) {
+impl<P: Store + WorkerClient + 'static> Instance<P> {
+    pub(super) fn execute(self: &Rc<Self>, effects: Effects) {
         let mut queue = VecDeque::new();
         enqueue(&mut queue, effects);
         while let Some(effect) = queue.pop_front() {
             let more = match effect {
-                Effect::Entry(command) => self.carry_out_entry(command),
-                Effect::Owner(pool, command) => self.carry_out_owner(pool, command),
-                Effect::Ownership(command) => self.carry_out_ownership(command),
+                Effect::Entry(command) => self.execute_entry_command(command),
+                Effect::Owner(pool, command) => self.execute_owner_command(pool, command),
+                Effect::Ownership(command) => self.execute_ownership_command(command),
             };
             enqueue(&mut queue, more);
         }
     }
 
-    fn carry_out_entry(self: &Rc<Self>, command: entry::Command) -> Effects {
+    fn execute_entry_command(self: &Rc<Self>, command: entry::Command) -> Effects {
         let mut effects = Effects::default();
         let now_ms = self.now_ms();
         match command {
             entry::Command::Answer { ticket, answer } => {
                 let waiter = self.state.borrow_mut().waiters.remove(&ticket);
                 if let Some(waiter) = waiter {
-                    // A caller that has just left needs no answer.
+                    // The caller may just have disconnected.
                     let _ = waiter.send(answer);
                 }
             }
@@ -67,7 +66,7 @@
                     unsafe_holder,
                     pool: to.pool.clone(),
                 };
-                if to.owner != self.me.name {
+                if to.owner != self.node.name {
                     self.send_delegate(&to, delegate, &mut effects);
                     return effects;
                 }
@@ -86,7 +85,7 @@
                 "owner" => from.owner, "cause" => ?cause)
             }
             entry::Command::Cancel { to, job_id } => {
-                if to.owner != self.me.name {
+                if to.owner != self.node.name {
                     self.send_cancel(&to, job_id);
                     return effects;
                 }
@@ -99,7 +98,7 @@
         effects
     }
 
-    fn carry_out_owner(self: &Rc<Self>, pool: String, command: owner::Command) -> Effects {
+    fn execute_owner_command(self: &Rc<Self>, pool: String, command: owner::Command) -> Effects {
         let mut effects = Effects::default();
         match command {
             owner::Command::Start(order) => self.send_start(pool, order),
@@ -115,7 +114,7 @@
                     "retry_after_ms" => ending.retry_after_ms);
                 match origin {
                     Origin::Local => {
-                        let owner = self.me.name.clone();
+                        let owner = self.node.name.clone();
                         let from = Owned { pool, owner };
                         let out = &mut effects.entry;
                         let mut state = self.state.borrow_mut();
@@ -128,14 +127,14 @@
                 let mut state = self.state.borrow_mut();
                 let out = &mut effects.ownership;
                 state.ownership.outranked(self.now_ms(), &pool, out);
-                self.store_poke.notify_waiters();
+                self.store_read_requested.notify_waiters();
             }
-            owner::Command::Note(note) => self.write_note(&pool, note),
+            owner::Command::Note(note) => self.log_event(&pool, note),
         }
         effects
     }
 
-    fn write_note(&self, pool: &str, note: Note) {
+    fn log_event(&self, pool: &str, note: Note) {
         match note.about {
             About::Work => info!(self.log, #WORK_TAG, "{}", note.event;
                 "task" => note.subject, "worker" => note.worker,
@@ -145,7 +144,7 @@
         }
     }
 
-    fn carry_out_ownership(self: &Rc<Self>, command: ownership::Command) -> Effects {
+    fn execute_ownership_command(self: &Rc<Self>, command: ownership::Command) -> Effects {
         let mut effects = Effects::default();
         match command {
             ownership::Command::WriteClaim { record, revision } => {
@@ -155,7 +154,7 @@
                 self.send_claim(record, revision);
             }
             ownership::Command::Acquired { claim, predecessor } => {
-                self.acquired(&claim, predecessor, &mut effects);
+                self.on_acquired(&claim, predecessor, &mut effects);
             }
             ownership::Command::RosterSent { pool, roster } => {
                 let mut state = self.state.borrow_mut();
@@ -168,7 +167,7 @@
                     owner.roster_stored(now_ms, roster, out);
                 });
             }
-            ownership::Command::Released(pool) => self.released(pool, &mut effects),
+            ownership::Command::Released(pool) => self.on_released(pool, &mut effects),
             ownership::Command::Learned(claim) => {
                 let owner = claim.owner.as_ref().map_or("", |node| node.name.as_str());
                 info!(self.log, "owner changed"; "pool" => &claim.pool,
@@ -178,7 +177,7 @@
         effects
     }
 
-    fn acquired(
+    fn on_acquired(
         self: &Rc<Self>,
         claim: &Claim,
         predecessor: Option<Predecessor>,
@@ -187,26 +186,26 @@
         let roster = predecessor.as_ref().map(|known| known.roster.len());
         info!(self.log, "ownership acquired"; "pool" => &claim.pool, "term" => claim.term,
             "workers_of_predecessor" => roster);
-        let fence = Fence::new(claim.term, &self.me.name);
+        let fence = Fence::new(claim.term, &self.node.name);
         let owner = Owner::new(&claim.pool, fence, unix_ms());
         let mut owner = owner.following(holder_of(claim), predecessor);
         owner.await_declarations();
         let mut state = self.state.borrow_mut();
         state.owners.insert(claim.pool.clone(), owner);
         let now_ms = self.now_ms();
-        // It may have been closed long ago.
+        // The failure domain may have been closed before, so no grace period applies.
         state.apply_closure(&claim.pool, now_ms, now_ms, effects);
         match state.worker_records.is_empty() {
-            true => state.give_told_workers(&claim.pool, now_ms, effects),
-            false => state.deal_workers(now_ms, effects),
+            true => state.assign_reported_workers(&claim.pool, now_ms, effects),
+            false => state.assign_workers(now_ms, effects),
         }
         drop(state);
-        self.store_poke.notify_waiters();
-        self.beat();
-        self.dial_users(&claim.pool);
+        self.store_read_requested.notify_waiters();
+        self.send_heartbeats();
+        self.dial_pool_users(&claim.pool);
     }
 
-    fn released(self: &Rc<Self>, pool: String, effects: &mut Effects) {
+    fn on_released(self: &Rc<Self>, pool: String, effects: &mut Effects) {
         info!(self.log, "ownership released"; "pool" => &pool);
         let now_ms = self.now_ms();
         let mut state = self.state.borrow_mut();
@@ -215,15 +214,15 @@
         if state.owners.is_empty() {
             state.worker_records.clear();
         }
-        let owner = self.me.name.clone();
+        let owner = self.node.name.clone();
         let owned = Owned { pool, owner };
         let out = &mut effects.entry;
         state
             .entry
             .pool_lost(now_ms, &owned, Cause::OwnerChanged, out);
         drop(state);
-        self.store_poke.notify_waiters();
-        self.beat();
+        self.store_read_requested.notify_waiters();
+        self.send_heartbeats();
     }
 }
 
--- a/crates/instance/src/instance/frames.rs
+++ b/crates/instance/src/instance/frames.rs
@@ -1,4 +1,4 @@
-//! Frames from and to other instances, once a link is up.
+//! Frames exchanged with other instances over open links.
 
 use trefoil_schema::dispatch::frame::Body;
 use trefoil_schema::dispatch::{
@@ -11,29 +11,30 @@
 use super::peers::encode;
 use super::*;
 
-/// The store has so long to bring newer declarations before a peer is asked.
-const ASK_AFTER_MS: u64 = 300;
-/// Pause between two such questions to one peer.
-const ASK_AGAIN_MS: u64 = 1000;
+/// Time in which a read of the store may return newer declarations before a peer is
+/// asked for them.
+const CONFIG_REQUEST_DELAY_MS: u64 = 300;
+/// Minimum interval between two requests for declarations to one peer.
+const CONFIG_REQUEST_INTERVAL_MS: u64 = 1000;
 
-impl<E: Store + WorkerClient + 'static> Instance<E> {
-    pub(super) fn take_frame(self: &Rc<Self>, id: u64, frame: Frame) {
+impl<P: Store + WorkerClient + 'static> Instance<P> {
+    pub(super) fn on_frame(self: &Rc<Self>, id: u64, frame: Frame) {
         let Some(body) = frame.body else {
             return;
         };
         if let Body::Config(push) = body {
-            return self.take_declarations(&push);
+            return self.on_config_push(&push);
         }
-        self.change(|state, now_ms, effects| {
+        self.update(|state, now_ms, effects| {
             let Some(link) = state.peers.links.get_mut(&id) else {
                 return;
             };
-            link.heard_ms = now_ms;
+            link.last_heard_ms = now_ms;
             let name = link.peer.name.clone();
             match body {
-                Body::Beat(beat) => self.take_beat(state, id, beat, now_ms, effects),
+                Body::Beat(heartbeat) => self.on_heartbeat(state, id, heartbeat, now_ms, effects),
                 Body::Delegate(delegate) => {
-                    self.take_delegate(state, id, delegate, now_ms, effects);
+                    self.on_delegate(state, id, delegate, now_ms, effects);
                 }
                 Body::Cancel(Cancel { job_id, pool }) => {
                     state.with_owner(&pool, effects, |owner, out| {
@@ -43,7 +44,7 @@
                 Body::Ended(ended) => {
                     let ending = Ending {
                         job_id: ended.job_id,
-                        outcome: outcome_of(ended.outcome),
+                        outcome: decode_outcome(ended.outcome),
                         retry_after_ms: ended.retry_after_ms,
                     };
                     let pool = ended.pool;
@@ -54,14 +55,14 @@
                 Body::ConfigRequest(request) => {
                     self.send_declarations(state, id, request.revision);
                 }
-                Body::PoolWorkers(told) => state.take_workers(told),
+                Body::PoolWorkers(reported) => state.on_pool_workers(reported),
                 Body::Retire(_) => link.retirement.released_by_peer(),
                 Body::Config(_) | Body::Hello(_) => {}
             }
         });
     }
 
-    fn take_delegate(
+    fn on_delegate(
         &self,
         state: &mut State,
         id: u64,
@@ -87,11 +88,11 @@
         }
     }
 
-    fn take_beat(
+    fn on_heartbeat(
         &self,
         state: &mut State,
         id: u64,
-        beat: Beat,
+        heartbeat: Beat,
         now_ms: u64,
         effects: &mut Effects,
     ) {
@@ -99,40 +100,40 @@
             return;
         };
         let name = link.peer.name.clone();
-        link.owns = !beat.owned.is_empty();
-        link.peer_sent_ms = link.peer_sent_ms.max(beat.sent_ms);
-        if beat.store_fresh {
+        link.owns_pools = !heartbeat.owned.is_empty();
+        link.peer_sent_ms = link.peer_sent_ms.max(heartbeat.sent_ms);
+        if heartbeat.store_fresh {
             link.store_fresh_ms = Some(now_ms);
         }
-        // What the peer echoes it has got over this very link.
-        if beat.echo_ms > 0 {
+        // `echo_ms` is the time of the last heartbeat that the peer got over this link.
+        if heartbeat.echo_ms > 0 {
             for owner in state.owners.values_mut() {
-                owner.origin_alive(Origin::Link(id), beat.echo_ms);
+                owner.origin_alive(Origin::Link(id), heartbeat.echo_ms);
             }
         }
-        state.ownership.heard(&name, beat.leaving);
-        let mut known = state.entry.pools_of(&name);
-        for owned in beat.owned {
-            known.retain(|known| {
+        state.ownership.heard(&name, heartbeat.leaving);
+        let mut lost_pools = state.entry.pools_of(&name);
+        for owned in heartbeat.owned {
+            lost_pools.retain(|pool| {
                 owned
                     .claim
                     .as_ref()
-                    .is_none_or(|claim| claim.pool != known.pool)
+                    .is_none_or(|claim| claim.pool != pool.pool)
             });
-            self.take_owned(state, owned, now_ms, effects);
+            self.learn_owned_pool(state, owned, now_ms, effects);
         }
-        for lost in known {
+        for lost in lost_pools {
             let out = &mut effects.entry;
             state
                 .entry
                 .pool_lost(now_ms, &lost, Cause::OwnerChanged, out);
         }
-        if state.declared.is_behind(beat.declarations_revision) {
-            self.catch_up(state, id, now_ms);
+        if state.declared.is_behind(heartbeat.declarations_revision) {
+            self.fetch_declarations(state, id, now_ms);
         }
     }
 
-    pub(super) fn take_owned(
+    pub(super) fn learn_owned_pool(
         &self,
         state: &mut State,
         owned: OwnedPool,
@@ -144,8 +145,8 @@
         };
         let load = owned.load.unwrap_or_default();
         let owner = claim.owner.as_ref().map_or("", |node| node.name.as_str());
-        // Jobs go only to owners with a link that is not being drained.
-        if owner == self.me.name || state.peers.link_to(owner).is_some() {
+        // Jobs are delegated only over links that are not draining.
+        if owner == self.node.name || state.peers.link_to(owner).is_some() {
             let out = &mut effects.entry;
             state.entry.pool_seen(now_ms, &claim, load, out);
         }
@@ -153,37 +154,37 @@
         state.ownership.learn(now_ms, claim, owned.yielded, out);
     }
 
-    /// A peer has newer declarations: the store is read, and if that does not
-    /// bring them, the peer is asked. A large configuration is thus not sent by
-    /// every peer that has it.
-    fn catch_up(&self, state: &mut State, id: u64, now_ms: u64) {
+    /// Fetches newer declarations that a peer has: from the store first, and from the
+    /// peer if that takes too long, so that not every peer sends a large
+    /// configuration.
+    fn fetch_declarations(&self, state: &mut State, id: u64, now_ms: u64) {
         let since_ms = *state.declared.behind_since_ms.get_or_insert(now_ms);
         if since_ms == now_ms {
-            self.store_poke.notify_waiters();
+            self.store_read_requested.notify_waiters();
         }
         let revision = state.declared.revision();
         let Some(link) = state.peers.links.get_mut(&id) else {
             return;
         };
-        let asked = link
-            .asked_ms
-            .is_some_and(|at_ms| now_ms < at_ms + ASK_AGAIN_MS);
-        if now_ms >= since_ms + ASK_AFTER_MS && !asked {
-            link.asked_ms = Some(now_ms);
+        let recently_requested = link
+            .config_requested_ms
+            .is_some_and(|at_ms| now_ms < at_ms + CONFIG_REQUEST_INTERVAL_MS);
+        if now_ms >= since_ms + CONFIG_REQUEST_DELAY_MS && !recently_requested {
+            link.config_requested_ms = Some(now_ms);
             link.sender
                 .send(encode(Body::ConfigRequest(ConfigRequest { revision })));
         }
     }
 
-    fn take_declarations(self: &Rc<Self>, push: &ConfigPush) {
+    fn on_config_push(self: &Rc<Self>, push: &ConfigPush) {
         match serde_json::from_slice(&push.body) {
-            Ok(declarations) => self.declarations_told(declarations),
-            Err(error) => warn!(self.log, "a peer's declarations are unreadable";
+            Ok(declarations) => self.apply_peer_declarations(declarations),
+            Err(error) => warn!(self.log, "cannot decode a peer's declarations";
                 "revision" => push.revision, "error" => %error),
         }
     }
 
-    /// Answers a peer that asked for newer declarations.
+    /// Sends the declarations in force to a peer if they are newer than `revision`.
     fn send_declarations(&self, state: &State, id: u64, revision: u64) {
         let newer = state.declared.table();
         let newer = newer.filter(|known| known.revision() > revision);
@@ -218,8 +219,8 @@
         let state = self.state.borrow();
         let pool = to.pool.clone();
         let cancel = encode(Body::Cancel(Cancel { job_id, pool }));
-        // The owner heeds the one that comes over the job's own link. A link that is
-        // down cancels everything anyway.
+        // The owner ignores the cancellation except over the job's own link. If that
+        // link is down, the owner cancels the job anyway.
         for link in state.peers.links_to(&to.owner) {
             link.sender.send(cancel.clone());
         }
@@ -228,7 +229,7 @@
     pub(super) fn send_ended(&self, link: u64, pool: String, ending: Ending, reason: &str) {
         let state = self.state.borrow();
         if let Some(link) = state.peers.links.get(&link) {
-            // A link that is down takes its jobs back anyway.
+            // If the link is down, the peer takes its jobs back anyway.
             link.sender.send(encode(Body::Ended(Ended {
                 job_id: ending.job_id,
                 outcome: ending.outcome.into(),
@@ -240,7 +241,7 @@
     }
 }
 
-/// How an outcome reads in a frame.
-fn outcome_of(number: i32) -> Outcome {
+/// Decodes an outcome; unknown values become `Unspecified`.
+fn decode_outcome(number: i32) -> Outcome {
     Outcome::try_from(number).unwrap_or(Outcome::Unspecified)
 }
--- a/crates/instance/src/instance/beats.rs
+++ b/crates/instance/src/instance/heartbeats.rs
@@ -1,26 +1,26 @@
-//! Heartbeats: liveness, ownership and load, told to every peer.
+//! Heartbeats, which report liveness, owned pools and load to every peer.
 
 use trefoil_core::dispatch::limits::{BEAT_IDLE_MS, LINK_IDLE_SILENT_MS, LINK_SILENT_MS};
 use trefoil_schema::dispatch::frame::Body;
 use trefoil_schema::dispatch::{Beat, OwnedPool};
 
-use super::peers::{Link, LinkEnd, STORE_FRESH_MS, encode};
+use super::peers::{Link, LinkDownCause, STORE_FRESH_MS, encode};
 use super::*;
 
 impl Link {
-    /// Sends a heartbeat; false if the peer does not keep up.
-    pub(super) fn beat(&self, beat: &Beat) -> bool {
+    /// Sends a heartbeat; returns `false` if the link's send queue is full.
+    pub(super) fn send_heartbeat(&self, heartbeat: &Beat) -> bool {
         let echo_ms = self.peer_sent_ms;
         self.sender.send(encode(Body::Beat(Beat {
             echo_ms,
-            ..beat.clone()
+            ..heartbeat.clone()
         })))
     }
 }
 
-impl<E: Store + WorkerClient + 'static> Instance<E> {
-    /// What this instance tells every peer now.
-    pub(super) fn beat_now(&self, state: &State, now_ms: u64) -> Beat {
+impl<P: Store + WorkerClient + 'static> Instance<P> {
+    /// Builds the heartbeat for all peers; `echo_ms` is set for each link.
+    pub(super) fn build_heartbeat(&self, state: &State, now_ms: u64) -> Beat {
         let load_of = |pool: &str| state.owners.get(pool).map(|owner| owner.load(now_ms));
         let owned = state.ownership.own_claims();
         let owned = owned.map(|(claim, yielded)| OwnedPool {
@@ -29,56 +29,56 @@
             yielded,
         });
         let read_ms = state.store_read_ms;
-        let fresh = read_ms.is_some_and(|read_ms| read_ms + STORE_FRESH_MS > now_ms);
+        let is_fresh = read_ms.is_some_and(|read_ms| read_ms + STORE_FRESH_MS > now_ms);
         Beat {
             owned: owned.collect(),
             declarations_revision: state.declared.revision(),
             leaving: state.leaving,
-            store_fresh: !state.owners.is_empty() && fresh,
+            store_fresh: !state.owners.is_empty() && is_fresh,
             sent_ms: now_ms,
             echo_ms: 0,
         }
     }
 
-    /// Sends heartbeats, closes silent links, dials missing ones.
-    pub(super) fn beat(self: &Rc<Self>) {
-        self.change(|state, now_ms, effects| {
+    /// Sends heartbeats, closes silent links and dials missing peers.
+    pub(super) fn send_heartbeats(self: &Rc<Self>) {
+        self.update(|state, now_ms, effects| {
             self.close_silent(state, now_ms, effects);
             self.retire_links(state, now_ms, effects);
             let idle_round = !state.ticks.is_multiple_of(BEAT_IDLE_MS / TICK_MS);
-            let own = !state.owners.is_empty();
-            let beat = self.beat_now(state, now_ms);
-            let mut stuck = Vec::new();
+            let owns_pools = !state.owners.is_empty();
+            let heartbeat = self.build_heartbeat(state, now_ms);
+            let mut congested = Vec::new();
             for (&id, link) in &state.peers.links {
-                let due = own || link.owns || !idle_round;
-                if due && !link.beat(&beat) {
-                    stuck.push(id);
+                let due = owns_pools || link.owns_pools || !idle_round;
+                if due && !link.send_heartbeat(&heartbeat) {
+                    congested.push(id);
                 }
             }
-            for id in stuck {
-                self.link_down(state, id, LinkEnd::Congested, now_ms, effects);
+            for id in congested {
+                self.close_link(state, id, LinkDownCause::Congested, now_ms, effects);
             }
-            for owned in beat.owned {
-                self.take_owned(state, owned, now_ms, effects);
+            for owned in heartbeat.owned {
+                self.learn_owned_pool(state, owned, now_ms, effects);
             }
         });
         self.dial_missing();
     }
 
     fn close_silent(&self, state: &mut State, now_ms: u64, effects: &mut Effects) {
-        let own = !state.owners.is_empty();
+        let owns_pools = !state.owners.is_empty();
         let silent = |link: &Link| {
-            let limit_ms = match own || link.owns {
+            let limit_ms = match owns_pools || link.owns_pools {
                 true => LINK_SILENT_MS,
                 false => LINK_IDLE_SILENT_MS,
             };
-            now_ms > link.heard_ms + limit_ms
+            now_ms > link.last_heard_ms + limit_ms
         };
         let links = state.peers.links.iter();
         let silent = links.filter(|(_, link)| silent(link));
         let ids: Vec<u64> = silent.map(|(&id, _)| id).collect();
         for id in ids {
-            self.link_down(state, id, LinkEnd::Silent, now_ms, effects);
+            self.close_link(state, id, LinkDownCause::Silent, now_ms, effects);
         }
     }
 }
--- a/crates/instance/src/instance/peers.rs
+++ b/crates/instance/src/instance/peers.rs
@@ -1,10 +1,9 @@
-//! Links to other instances: dials, losses.
+//! Links to other instances.
 //!
-//! In a small deployment every two instances have a link. The one that starts
-//! dials all others; of two that know of each other, the one with the smaller
-//! name dials again, and the other one more rarely. In a larger one each dials
-//! its desired peers, and [`retire`] closes links that are no
-//! longer needed.
+//! A small cluster is a full mesh: an instance dials all others when it starts.
+//! When a link is lost, the side with the smaller name redials at short intervals,
+//! the other side at longer ones. In a larger cluster each instance dials its
+//! desired peers, and [`retire`] closes links that are no longer needed.
 
 use std::collections::HashSet;
 use std::net::SocketAddr;
@@ -19,31 +18,32 @@
 use super::*;
 use crate::links::{self, FrameReader, LinkGuard, LinkSender};
 
-/// Pause between two dials of one instance.
-const REDIAL_MS: u64 = 250;
-/// The same for the instance whose turn it is not: the other one may know
-/// nobody, when it starts while the store is away.
-const REDIAL_OTHER_MS: u64 = 1000;
-/// So long after its start an instance dials all others that it learns of.
-const DIAL_ALL_MS: u64 = 2000;
-/// Time after the start in which the store may tell of peers before seeds are dialed.
-const SEEDS_AFTER_MS: u64 = 300;
-/// Age of the last reading of the store up to which seeds are not needed: instances
-/// that leave reading to owners read each 4000.
-const STORE_INTRODUCES_MS: u64 = 5000;
+/// Minimum interval between two dials of one peer.
+const REDIAL_INTERVAL_MS: u64 = 250;
+/// Minimum interval between dials of a peer with a smaller name, and of the seeds.
+/// Such a peer usually dials, but may know no other instance if it started while
+/// the store was unavailable.
+const PASSIVE_REDIAL_INTERVAL_MS: u64 = 1000;
+/// Time after the start during which the instance dials all peers that it learns of.
+const STARTUP_DIAL_PERIOD_MS: u64 = 2000;
+/// Delay after the start before seeds are dialed, so that the store is read first.
+const SEED_DIAL_DELAY_MS: u64 = 300;
+/// Age of the last read of the store up to which seeds are not dialed; longer than
+/// the interval between reads of instances that own no pools.
+const STORE_RECENT_MS: u64 = 5000;
 
-/// Why a link ended.
+/// Why a link was closed; logged as `cause`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum LinkEnd {
+pub(super) enum LinkDownCause {
     /// The connection broke, or the peer closed it.
     Broken,
-    /// Nothing was heard for too long.
+    /// No frame was received within the timeout.
     Silent,
-    /// The peer does not read what is sent.
+    /// The send queue is full.
     Congested,
-    /// This process did not run for a while.
+    /// This process was stalled.
     Stalled,
-    /// Neither side needed it.
+    /// Both sides agreed to close it.
     Retired,
 }
 
@@ -52,53 +52,53 @@
     pub(super) peer: Node,
     pub(super) retirement: Retirement,
     pub(super) sender: LinkSender,
-    pub(super) heard_ms: u64,
-    /// When the peer was last asked for its declarations.
-    pub(super) asked_ms: Option<u64>,
+    pub(super) last_heard_ms: u64,
+    /// When declarations were last requested from the peer.
+    pub(super) config_requested_ms: Option<u64>,
     pub(super) store_fresh_ms: Option<u64>,
-    /// Whether the peer owns a pool, so that silence matters soon.
-    pub(super) owns: bool,
-    /// Largest time of the peer's clock that it has told.
+    /// Whether the peer owns a pool, which shortens the link's timeout.
+    pub(super) owns_pools: bool,
+    /// Latest time of the peer's clock received in its heartbeats.
     pub(super) peer_sent_ms: u64,
     _guard: LinkGuard,
 }
 
-/// A read of the store that is no older counts as watching it.
+/// Maximum age of a read of the store that is reported as fresh.
 pub(super) const STORE_FRESH_MS: u64 = 1500;
 
-/// All links.
+/// All links, and the state of dialing.
 #[derive(Default)]
 pub(crate) struct Peers {
     pub(super) links: HashMap<u64, Link>,
     next_link: u64,
     dialing: HashSet<String>,
     dialed_ms: HashMap<String, u64>,
-    /// When the seeds were last dialed; none before the first time.
     seeds_dialed_ms: Option<u64>,
 }
 
 impl Peers {
-    /// All links to a peer: both sides may have dialed at once.
+    /// Returns all links to a peer; there are two if both sides dialed at once.
     pub(super) fn links_to(&self, name: &str) -> impl Iterator<Item = &Link> {
         let links = self.links.values();
         links.filter(move |link| link.peer.name == name)
     }
 
-    /// A link to a peer over which jobs may be delegated.
+    /// Returns a link to a peer over which jobs may be delegated.
     pub(super) fn link_to(&self, name: &str) -> Option<&Link> {
         self.links_to(name)
             .find(|link| !link.retirement.is_draining())
     }
 
-    /// Moves all silence limits by a time in which this process did not run.
-    pub(super) fn extend_silence_limits(&mut self, stall_ms: u64) {
+    /// Extends the timeouts of all links by a time during which this process did not
+    /// run.
+    pub(super) fn extend_liveness_timeouts(&mut self, stall_ms: u64) {
         for link in self.links.values_mut() {
-            link.heard_ms += stall_ms;
+            link.last_heard_ms += stall_ms;
         }
     }
 
-    /// Whether another instance tells that it reads the store.
-    pub(super) fn store_is_fresh(&self, now_ms: u64) -> bool {
+    /// Whether any peer has recently reported a fresh read of the store.
+    pub(super) fn any_peer_reads_store(&self, now_ms: u64) -> bool {
         let mut links = self.links.values();
         links.any(|link| {
             let fresh_ms = link.store_fresh_ms;
@@ -107,7 +107,7 @@
     }
 }
 
-impl<E: Store + WorkerClient + 'static> Instance<E> {
+impl<P: Store + WorkerClient + 'static> Instance<P> {
     /// Accepts links from other instances until the process ends.
     pub async fn accept_links(self: Rc<Self>, listener: TcpListener) {
         loop {
@@ -120,7 +120,7 @@
         }
     }
 
-    /// Dials the seeds; what they tell leads to all others.
+    /// Dials the seeds, which introduce all other instances.
     fn dial_seeds(self: &Rc<Self>) {
         self.state.borrow_mut().peers.seeds_dialed_ms = Some(self.now_ms());
         for &seed in &self.settings.seeds {
@@ -135,14 +135,14 @@
         }
     }
 
-    /// Opens a link; both sides say who they are first.
+    /// Opens a link, which starts with a `Hello` from each side.
     async fn serve_link(self: Rc<Self>, stream: TcpStream, side: Side) {
         let opened = match links::open(stream) {
             Ok(opened) => opened,
             Err(error) => return warn!(self.log, "cannot open a link"; "error" => %error),
         };
         let hello = Body::Hello(Hello {
-            node: Some(self.me.clone()),
+            node: Some(self.node.clone()),
             known: self.state.borrow().ownership.introductions(),
         });
         opened.sender.send(encode(hello));
@@ -158,7 +158,7 @@
         else {
             return;
         };
-        if node.name == self.me.name {
+        if node.name == self.node.name {
             return;
         }
         let id = {
@@ -167,16 +167,16 @@
             peers.next_link
         };
         let reading = tokio::task::spawn_local(Rc::clone(&self).read_link(id, reader));
-        self.change(|state, now_ms, _| {
-            for node in known.iter().filter(|node| node.name != self.me.name) {
+        self.update(|state, now_ms, _| {
+            for node in known.iter().filter(|node| node.name != self.node.name) {
                 state.ownership.observe_peer(now_ms, node);
             }
         });
         let tasks = LinkGuard::new(vec![reading, opened.writer]);
-        self.link_up(id, node, side, opened.sender, tasks);
+        self.on_link_up(id, node, side, opened.sender, tasks);
     }
 
-    fn link_up(
+    fn on_link_up(
         self: &Rc<Self>,
         id: u64,
         node: Node,
@@ -186,16 +186,16 @@
     ) {
         info!(self.log, "link up"; "peer" => &node.name, "incarnation" => node.incarnation,
             "side" => ?side);
-        self.change(|state, now_ms, _| {
+        self.update(|state, now_ms, _| {
             state.ownership.linked(now_ms, &node);
             let link = Link {
                 peer: node,
                 retirement: Retirement::new(now_ms, side),
                 sender,
-                heard_ms: now_ms,
-                asked_ms: None,
+                last_heard_ms: now_ms,
+                config_requested_ms: None,
                 store_fresh_ms: None,
-                owns: false,
+                owns_pools: false,
                 peer_sent_ms: 0,
                 _guard: guard,
             };
@@ -203,7 +203,7 @@
         });
         let state = self.state.borrow();
         if let Some(link) = state.peers.links.get(&id) {
-            link.beat(&self.beat_now(&state, self.now_ms()));
+            link.send_heartbeat(&self.build_heartbeat(&state, self.now_ms()));
             state.send_pool_workers(link);
         }
     }
@@ -211,44 +211,44 @@
     async fn read_link(self: Rc<Self>, id: u64, mut reader: FrameReader) {
         loop {
             match reader.next().await {
-                Ok(Some(frame)) => self.take_frame(id, frame),
+                Ok(Some(frame)) => self.on_frame(id, frame),
                 Ok(None) => break,
                 Err(error) => {
-                    warn!(self.log, "link error"; "error" => %error);
+                    warn!(self.log, "cannot read from a link"; "error" => %error);
                     break;
                 }
             }
         }
-        self.change(|state, now_ms, effects| {
-            self.link_down(state, id, LinkEnd::Broken, now_ms, effects);
+        self.update(|state, now_ms, effects| {
+            self.close_link(state, id, LinkDownCause::Broken, now_ms, effects);
         });
     }
 
-    /// Removes a link that has ended: the peer's jobs stop, and own jobs are taken
-    /// back.
-    pub(super) fn link_down(
+    /// Removes a closed link: jobs that the peer delegated are stopped, and jobs that
+    /// were delegated to it are taken back.
+    pub(super) fn close_link(
         &self,
         state: &mut State,
         id: u64,
-        end: LinkEnd,
+        cause: LinkDownCause,
         now_ms: u64,
         effects: &mut Effects,
     ) {
         let Some(link) = state.peers.links.remove(&id) else {
             return;
         };
-        let end = match (end, link.retirement.is_offered()) {
-            (LinkEnd::Broken, true) => LinkEnd::Retired,
-            _ => end,
+        let cause = match (cause, link.retirement.is_offered()) {
+            (LinkDownCause::Broken, true) => LinkDownCause::Retired,
+            _ => cause,
         };
         let name = link.peer.name.clone();
-        info!(self.log, "link down"; "peer" => &name, "cause" => ?end, "side" => ?link.retirement.side(),
-            "last_heard_ms" => now_ms.saturating_sub(link.heard_ms));
-        state.each_owner(effects, |owner, out| {
+        info!(self.log, "link down"; "peer" => &name, "cause" => ?cause, "side" => ?link.retirement.side(),
+            "last_heard_ms" => now_ms.saturating_sub(link.last_heard_ms));
+        state.for_each_owner(effects, |owner, out| {
             owner.origin_lost(now_ms, Origin::Link(id), out);
         });
         let is_last = state.peers.links_to(&name).next().is_none();
-        if end == LinkEnd::Retired {
+        if cause == LinkDownCause::Retired {
             if is_last {
                 state.ownership.link_retired(now_ms, &name);
             }
@@ -256,8 +256,8 @@
         }
         if is_last {
             state.ownership.unlinked(now_ms, &name);
-            if *name < *self.me.name {
-                // It dials first.
+            if *name < *self.node.name {
+                // The peer has the smaller name and redials first.
                 state.peers.dialed_ms.insert(name.clone(), now_ms);
             }
         }
@@ -265,11 +265,11 @@
         state.entry.owner_lost(now_ms, &name, out);
     }
 
-    /// Ends all links after a time in which this process did not run.
-    pub(super) fn drop_links(&self, state: &mut State, now_ms: u64, effects: &mut Effects) {
+    /// Closes all links after a stall of this process.
+    pub(super) fn close_all_links(&self, state: &mut State, now_ms: u64, effects: &mut Effects) {
         let ids: Vec<u64> = state.peers.links.keys().copied().collect();
         for id in ids {
-            self.link_down(state, id, LinkEnd::Stalled, now_ms, effects);
+            self.close_link(state, id, LinkDownCause::Stalled, now_ms, effects);
         }
     }
 
@@ -287,22 +287,20 @@
         for node in ownership.desired_peers() {
             let name = node.name.as_str();
             let dialed_ms = peers.dialed_ms.get(name);
-            let due = dialed_ms.is_none_or(|at_ms| at_ms + REDIAL_MS <= now_ms);
-            let mine = !is_mesh
-                || now_ms < DIAL_ALL_MS
-                || *self.me.name < *name
-                || dialed_ms.is_none_or(|at_ms| at_ms + REDIAL_OTHER_MS <= now_ms);
-            if due && mine {
+            let due = dialed_ms.is_none_or(|at_ms| at_ms + REDIAL_INTERVAL_MS <= now_ms);
+            let is_responsible = !is_mesh
+                || now_ms < STARTUP_DIAL_PERIOD_MS
+                || *self.node.name < *name
+                || dialed_ms.is_none_or(|at_ms| at_ms + PASSIVE_REDIAL_INTERVAL_MS <= now_ms);
+            if due && is_responsible {
                 self.dial_if_missing(peers, node, now_ms);
             }
         }
     }
 
-    /// Dials the instances that use a pool that this one has just acquired.
-    ///
-    /// Load pattern: an owner is lost. Its successor reaches those who used the pool
-    /// sooner than they learn of it from the store, which they read rarely.
-    pub(super) fn dial_users(self: &Rc<Self>, pool: &str) {
+    /// Dials the instances that use a pool that this one has just acquired; they would
+    /// learn of the new owner from the store much later.
+    pub(super) fn dial_pool_users(self: &Rc<Self>, pool: &str) {
         let now_ms = self.now_ms();
         let mut state = self.state.borrow_mut();
         let State {
@@ -333,19 +331,19 @@
 }
 
 impl State {
-    /// Whether only the seeds can tell of peers: no link is up, and the store has
-    /// not been read for a while.
+    /// Whether seeds are the only way to find peers: no link is up, and the store has
+    /// not been read recently.
     fn needs_seeds(&self, now_ms: u64) -> bool {
         let due_ms = match self.peers.seeds_dialed_ms {
-            Some(dialed_ms) => dialed_ms + REDIAL_OTHER_MS,
-            None => SEEDS_AFTER_MS,
+            Some(dialed_ms) => dialed_ms + PASSIVE_REDIAL_INTERVAL_MS,
+            None => SEED_DIAL_DELAY_MS,
         };
-        let is_read = |read_ms: u64| now_ms < read_ms + STORE_INTRODUCES_MS;
+        let is_read = |read_ms: u64| now_ms < read_ms + STORE_RECENT_MS;
         self.peers.links.is_empty() && now_ms >= due_ms && !self.store_read_ms.is_some_and(is_read)
     }
 }
 
-/// The bytes of a frame.
+/// Encodes a frame with this body.
 pub(super) fn encode(body: Body) -> Bytes {
     links::encode(&Frame { body: Some(body) })
 }
--- a/crates/instance/src/instance/retire.rs
+++ b/crates/instance/src/instance/retire.rs
@@ -8,10 +8,10 @@
 use trefoil_schema::dispatch::Retire;
 use trefoil_schema::dispatch::frame::Body;
 
-use super::peers::{LinkEnd, encode};
+use super::peers::{LinkDownCause, encode};
 use super::*;
 
-impl<E: Store + WorkerClient + 'static> Instance<E> {
+impl<P: Store + WorkerClient + 'static> Instance<P> {
     /// Drains links to peers that are no longer desired, and closes those that
     /// neither side needs.
     pub(super) fn retire_links(&self, state: &mut State, now_ms: u64, effects: &mut Effects) {
@@ -27,7 +27,7 @@
         }
         for (id, step) in steps {
             match step {
-                Step::Close => self.link_down(state, id, LinkEnd::Retired, now_ms, effects),
+                Step::Close => self.close_link(state, id, LinkDownCause::Retired, now_ms, effects),
                 Step::Offer => state.offer_to_close(id),
             }
         }
@@ -60,7 +60,7 @@
         let Some(link) = self.peers.links.get_mut(&id) else {
             return;
         };
-        // A peer that does not read is cut off by its heartbeats.
+        // A link whose send queue is full is closed by the next heartbeat.
         if link.sender.send(encode(Body::Retire(Retire {}))) {
             link.retirement.offered();
         }
--- a/crates/instance/src/instance/workers.rs
+++ b/crates/instance/src/instance/workers.rs
@@ -1,8 +1,8 @@
-//! The workers of pools: dealt to the owners here, and told to others.
+//! Assignment of registered workers to pools.
 //!
-//! Only owners read the registry. They tell the workers of their pools to the
-//! other instances of their failure domain, so that whoever owns a pool next
-//! can go on while the store is away.
+//! Only owners read the registry. They send the workers of their pools to the other
+//! instances of the failure domain, so that a pool's next owner can use them while
+//! the store is unavailable.
 
 use std::sync::Arc;
 
@@ -15,37 +15,42 @@
 use super::*;
 
 impl State {
-    /// Gives each owner here the workers of its pool. A worker of a service that
-    /// is not declared is nobody's: its entry may be another writer's.
-    pub(super) fn deal_workers(&mut self, now_ms: u64, effects: &mut Effects) {
+    /// Assigns the registered workers to the owners of their pools. Workers of
+    /// undeclared services are ignored, since they may belong to another system.
+    pub(super) fn assign_workers(&mut self, now_ms: u64, effects: &mut Effects) {
         let count = self.pool_count;
-        let mut dealt: HashMap<u32, Vec<WorkerRecord>> = HashMap::new();
+        let mut by_pool: HashMap<u32, Vec<WorkerRecord>> = HashMap::new();
         let declared = self.declared.table();
         let is_known = |record: &&WorkerRecord| {
             declared.is_none_or(|table| table.has_service(&record.service))
         };
         for record in self.worker_records.iter().filter(is_known) {
             let index = pool::index_of(&record.id, count);
-            dealt.entry(index).or_default().push(record.clone());
+            by_pool.entry(index).or_default().push(record.clone());
         }
         for index in 0..count {
-            let records = dealt.remove(&index).unwrap_or_default();
-            let pool = pool::name(&self.home, index);
+            let records = by_pool.remove(&index).unwrap_or_default();
+            let pool = pool::name(&self.failure_domain, index);
             if self.owners.contains_key(&pool) {
-                self.give_workers(&pool, records, now_ms, effects);
+                self.set_pool_workers(&pool, records, now_ms, effects);
             }
         }
     }
 
-    /// Gives the owner of a pool what its former owner told of its workers,
-    /// where the registry has not been read.
-    pub(super) fn give_told_workers(&mut self, pool: &str, now_ms: u64, effects: &mut Effects) {
+    /// Assigns the workers reported by the former owner to the new owner of a pool,
+    /// for use before the registry has been read.
+    pub(super) fn assign_reported_workers(
+        &mut self,
+        pool: &str,
+        now_ms: u64,
+        effects: &mut Effects,
+    ) {
         if let Some(records) = self.pool_workers.get(pool).cloned() {
-            self.give_workers(pool, records, now_ms, effects);
+            self.set_pool_workers(pool, records, now_ms, effects);
         }
     }
 
-    fn give_workers(
+    fn set_pool_workers(
         &mut self,
         pool: &str,
         records: Vec<WorkerRecord>,
@@ -56,8 +61,8 @@
         if known != Some(&records) {
             self.pool_workers.insert(pool.to_owned(), records.clone());
             let links = self.peers.links.values();
-            for link in links.filter(|link| link.peer.failure_domain == self.home) {
-                self.send_workers_of(link, pool);
+            for link in links.filter(|link| link.peer.failure_domain == self.failure_domain) {
+                self.send_workers_of_pool(link, pool);
             }
         }
         let roster = self.with_owner(pool, effects, |owner, out| {
@@ -69,36 +74,36 @@
         }
     }
 
-    /// Tells a new peer of the failure domain the workers of all pools here.
+    /// Sends the workers of all owned pools to a new peer of the same failure domain.
     pub(super) fn send_pool_workers(&self, link: &Link) {
-        if link.peer.failure_domain == self.home {
+        if link.peer.failure_domain == self.failure_domain {
             for pool in self.owners.keys() {
-                self.send_workers_of(link, pool);
+                self.send_workers_of_pool(link, pool);
             }
         }
     }
 
-    fn send_workers_of(&self, link: &Link, pool: &str) {
+    fn send_workers_of_pool(&self, link: &Link, pool: &str) {
         let records = self.pool_workers.get(pool).into_iter().flatten();
-        // A peer that does not keep up is cut off by its heartbeats.
+        // A link whose send queue is full is closed by the next heartbeat.
         link.sender.send(encode(Body::PoolWorkers(PoolWorkers {
             pool: pool.to_owned(),
-            workers: records.map(worker_of).collect(),
+            workers: records.map(encode_worker).collect(),
         })));
     }
 
-    /// Takes in what the owner of a pool tells of its workers.
-    pub(super) fn take_workers(&mut self, told: PoolWorkers) {
-        if self.owners.contains_key(&told.pool) {
+    /// Stores the workers reported by the owner of a pool.
+    pub(super) fn on_pool_workers(&mut self, reported: PoolWorkers) {
+        if self.owners.contains_key(&reported.pool) {
             return;
         }
-        let records = told.workers.into_iter();
-        let records = records.map(|worker| record_of(worker, &self.home));
-        self.pool_workers.insert(told.pool, records.collect());
+        let records = reported.workers.into_iter();
+        let records = records.map(|worker| decode_worker(worker, &self.failure_domain));
+        self.pool_workers.insert(reported.pool, records.collect());
     }
 }
 
-fn worker_of(record: &WorkerRecord) -> Worker {
+fn encode_worker(record: &WorkerRecord) -> Worker {
     Worker {
         id: record.id.to_string(),
         address: record.address.to_string(),
@@ -111,7 +116,7 @@
     }
 }
 
-fn record_of(worker: Worker, failure_domain: &str) -> WorkerRecord {
+fn decode_worker(worker: Worker, failure_domain: &str) -> WorkerRecord {
     WorkerRecord {
         id: Arc::from(worker.id),
         address: Arc::from(worker.address),
--- a/crates/instance/src/lib.rs
+++ b/crates/instance/src/lib.rs
@@ -1,23 +1,24 @@
-//! One instance on a platform with fenced workers.
+//! Runtime of one instance on a platform with fenced workers.
 //!
-//! The decisions are in [`trefoil_core::dispatch`]; this crate gives them
-//! clocks, timers and links between instances. What differs between platforms
-//! comes in by the traits of [`edge`].
+//! The scheduling decisions are made in [`trefoil_core::dispatch`], which does no
+//! I/O. This crate provides the clock, the timers and the links between instances,
+//! and carries out the decisions. Platforms are accessed through the traits of
+//! [`platform`].
 //!
-//! * [`clock`]: the clock by which the age of what is known is judged.
-//! * [`edge`]: the platform's store and its workers, as the product sees them.
+//! * [`clock`]: monotonic clock that includes suspensions.
+//! * [`platform`]: interfaces to the platform's store and workers.
 //! * [`declarations`]: routes and services in force.
-//! * [`settings`]: the checked settings of an instance.
-//! * [`instance`]: the state of one instance and what changes it.
+//! * [`settings`]: loading and validation of instance settings.
+//! * [`instance`]: state and event handling of one instance.
 //! * [`links`]: connections between instances.
-//! * [`feeds`]: what is read from the store, and when.
-//! * [`log`]: lines on standard output, bounded.
-//! * [`metrics`]: counters and latency histograms.
+//! * [`store_polling`]: periodic reads of the store, and registration.
+//! * [`log`]: structured logging through a bounded buffer.
+//! * [`metrics`]: Prometheus metrics.
 
 pub mod clock;
 pub mod declarations;
 pub mod instance;
-pub mod links;
+pub(crate) mod links;
 pub mod log;
 pub mod metrics;
 pub mod platform;
--- a/crates/instance/src/links.rs
+++ b/crates/instance/src/links.rs
@@ -1,9 +1,8 @@
 //! Connections between instances.
 //!
-//! One TCP connection carries frames both ways; each frame is a message in
-//! protocol buffers behind its length. A link that is silent for too long is
-//! closed by the instance's tick, so that neither side waits for the kernel to
-//! notice that a peer is gone.
+//! A link is one TCP connection that carries length-prefixed Protocol Buffers
+//! frames in both directions. Dead peers are detected by missing heartbeats (see
+//! [`instance`](crate::instance)), which is faster than the kernel's timeouts.
 
 use std::io;
 use std::net::SocketAddr;
@@ -19,72 +18,70 @@
 use tokio_util::codec::{FramedRead, FramedWrite, LengthDelimitedCodec};
 use trefoil_schema::dispatch::Frame;
 
-/// Longest wait for a connection to open: a crossing takes a few milliseconds,
-/// and a lost opening packet is sent again after a second.
-const DIAL: Duration = Duration::from_millis(400);
-/// Longest frame: a handover of a thousand jobs with their texts.
+/// Connect timeout; shorter than the kernel's retransmission of a lost SYN after
+/// one second, so that the instance dials again instead.
+const DIAL_TIMEOUT: Duration = Duration::from_millis(400);
+/// Maximum size of a frame.
 const FRAME_BYTES_MAX: usize = 8 * 1024 * 1024;
-/// Unacknowledged bytes end the connection after this time; the heartbeats'
-/// limit comes first for a peer that is silent.
+/// `TCP_USER_TIMEOUT`: closes a connection whose sent data stays unacknowledged.
+/// Heartbeats usually detect a silent peer earlier.
 const USER_TIMEOUT: Duration = Duration::from_millis(2000);
-/// Frames that wait for a peer that does not read; beyond them it is cut off.
-const FRAMES_WAITING_MAX: usize = 4096;
-/// First size of the buffer that frames are read into.
-const READ_BYTES: usize = 4096;
+/// Capacity of the send queue, in frames; a link whose queue is full is closed.
+const SEND_QUEUE_FRAMES: usize = 4096;
+/// Initial size of the read buffer.
+const READ_BUFFER_BYTES: usize = 4096;
 
-/// Sends frames to one peer; the link closes when the last clone is dropped.
+/// Sends frames to one peer; the writer ends when the last clone is dropped.
 #[derive(Clone, Debug)]
 pub struct LinkSender(mpsc::Sender<Bytes>);
 
 impl LinkSender {
-    /// Queues a frame; false if the peer does not keep up or the link is down.
+    /// Queues a frame; returns `false` if the queue is full or the link is down.
     pub fn send(&self, frame: Bytes) -> bool {
         self.0.try_send(frame).is_ok()
     }
 }
 
-/// The bytes of a frame.
+/// Encodes a frame, without its length prefix.
 pub fn encode(frame: &Frame) -> Bytes {
     Bytes::from(frame.encode_to_vec())
 }
 
-/// Opens a connection to an instance.
+/// Connects to an instance.
 ///
 /// # Errors
 ///
-/// What the system says, or that it took too long.
+/// Fails with the system's error, or with `TimedOut` after [`DIAL_TIMEOUT`].
 pub async fn dial(address: SocketAddr) -> io::Result<TcpStream> {
-    match tokio::time::timeout(DIAL, TcpStream::connect(address)).await {
+    match tokio::time::timeout(DIAL_TIMEOUT, TcpStream::connect(address)).await {
         Ok(stream) => stream,
         Err(_) => Err(io::ErrorKind::TimedOut.into()),
     }
 }
 
-/// The two halves of an open link.
-pub struct Opened {
-    /// For frames to the peer.
+/// An open link.
+pub struct OpenLink {
     pub sender: LinkSender,
-    /// For frames from the peer.
     pub reader: FrameReader,
-    /// Ends the link's writer.
+    /// Task that writes queued frames to the connection.
     pub writer: JoinHandle<()>,
 }
 
-/// Makes a link of a connection.
+/// Turns a connection into a link, and spawns its writer.
 ///
 /// # Errors
 ///
-/// When the connection's options cannot be set.
-pub fn open(stream: TcpStream) -> io::Result<Opened> {
+/// Fails if the socket options cannot be set.
+pub fn open(stream: TcpStream) -> io::Result<OpenLink> {
     stream.set_nodelay(true)?;
     let options = socket2::SockRef::from(&stream);
     options.set_tcp_user_timeout(Some(USER_TIMEOUT))?;
     let (read, write) = stream.into_split();
-    let (sender, frames) = mpsc::channel(FRAMES_WAITING_MAX);
+    let (sender, frames) = mpsc::channel(SEND_QUEUE_FRAMES);
     let writer = tokio::task::spawn_local(write_frames(write, frames));
-    Ok(Opened {
+    Ok(OpenLink {
         sender: LinkSender(sender),
-        reader: FrameReader(FramedRead::with_capacity(read, codec(), READ_BYTES)),
+        reader: FrameReader(FramedRead::with_capacity(read, codec(), READ_BUFFER_BYTES)),
         writer,
     })
 }
@@ -116,15 +113,15 @@
     }
 }
 
-/// Reads frames from a peer.
+/// Reads frames from one peer.
 pub struct FrameReader(FramedRead<OwnedReadHalf, LengthDelimitedCodec>);
 
 impl FrameReader {
-    /// The next frame; none at the end of the link.
+    /// Reads the next frame; returns `None` once the peer has closed the link.
     ///
     /// # Errors
     ///
-    /// When the connection breaks or the peer sends garbage.
+    /// Fails if the connection breaks or a frame cannot be decoded.
     pub async fn next(&mut self) -> io::Result<Option<Frame>> {
         match self.0.next().await {
             Some(bytes) => Ok(Some(Frame::decode(bytes?)?)),
@@ -133,14 +130,14 @@
     }
 }
 
-/// Closes a link when dropped.
+/// Closes a link when dropped, by aborting the tasks that serve it.
 #[derive(Debug)]
 pub struct LinkGuard {
     tasks: Vec<JoinHandle<()>>,
 }
 
 impl LinkGuard {
-    /// A guard of the tasks that serve a link.
+    /// Guards the tasks that serve a link.
     pub fn new(tasks: Vec<JoinHandle<()>>) -> Self {
         Self { tasks }
     }
--- a/crates/instance/src/log.rs
+++ b/crates/instance/src/log.rs
@@ -17,64 +17,64 @@
 use slog::{Drain, IgnoreResult, Logger, Never, OwnedKVList, Record, o};
 use slog_json::Json;
 
-/// Tag of records on jobs, runs and workers, which are dropped first.
+/// Record tag of messages on jobs, runs and workers, which are dropped first.
 pub const WORK_TAG: &str = "work";
 
 /// Capacity of the buffer: a second of a busy instance's records.
 const BUFFER_BYTES_MAX: usize = 128 * 1024;
-/// Buffer level above which records on work are dropped.
-const ON_WORK_BYTES_MAX: usize = 96 * 1024;
+/// Buffer level above which records tagged [`WORK_TAG`] are dropped.
+const WORK_BYTES_MAX: usize = 96 * 1024;
 /// Batching delay before a flush.
 const FLUSH_DELAY: Duration = Duration::from_millis(200);
-/// Stack of the writing thread.
+/// Stack size of the writer thread.
 const STACK_BYTES: usize = 64 * 1024;
 
 #[derive(Debug, Default)]
-struct Waiting {
+struct Queue {
     bytes: Vec<u8>,
-    dropped: Dropped,
+    dropped: DroppedCounts,
     closed: bool,
 }
 
-/// Lines dropped since the last that passed.
+/// Records dropped since the last one that was queued.
 #[derive(Debug, Default)]
-struct Dropped {
+struct DroppedCounts {
     on_work: u64,
     others: u64,
 }
 
 #[derive(Debug, Default)]
 struct Buffer {
-    waiting: Mutex<Waiting>,
+    queue: Mutex<Queue>,
     changed: Condvar,
 }
 
 impl Buffer {
-    fn lock(&self) -> MutexGuard<'_, Waiting> {
-        self.waiting.lock().unwrap_or_else(PoisonError::into_inner)
+    fn lock(&self) -> MutexGuard<'_, Queue> {
+        self.queue.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
 
-/// Gathers the pieces of one line, and appends it whole or drops it whole.
+/// Collects the parts of one line, and queues or drops it as a whole.
 #[derive(Debug)]
 struct Appender {
     buffer: Arc<Buffer>,
     line: Vec<u8>,
-    kind: Kind,
+    kind: RecordKind,
 }
 
-/// What a line is on.
+/// What a record is about; determines how much of the buffer it may use.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Kind {
-    OnWork,
+enum RecordKind {
+    Work,
     Other,
 }
 
-impl Kind {
-    /// Bytes that may wait together with a further line of this kind.
+impl RecordKind {
+    /// Buffer level up to which records of this kind are queued.
     fn bytes_max(self) -> usize {
         match self {
-            Self::OnWork => ON_WORK_BYTES_MAX,
+            Self::Work => WORK_BYTES_MAX,
             Self::Other => BUFFER_BYTES_MAX,
         }
     }
@@ -86,28 +86,28 @@
         Ok(bytes.len())
     }
 
-    /// Comes at the end of each line.
+    /// Called by the formatter at the end of each line.
     fn flush(&mut self) -> io::Result<()> {
-        let mut waiting = self.buffer.lock();
-        if waiting.bytes.len() + self.line.len() > self.kind.bytes_max() {
-            waiting.dropped.count(self.kind);
+        let mut queue = self.buffer.lock();
+        if queue.bytes.len() + self.line.len() > self.kind.bytes_max() {
+            queue.dropped.count(self.kind);
         } else {
-            if waiting.bytes.is_empty() {
+            if queue.bytes.is_empty() {
                 self.buffer.changed.notify_one();
             }
-            waiting.tell_dropped();
-            waiting.bytes.append(&mut self.line);
+            queue.push_dropped_notice();
+            queue.bytes.append(&mut self.line);
         }
         self.line.clear();
         Ok(())
     }
 }
 
-impl Dropped {
-    fn count(&mut self, kind: Kind) {
+impl DroppedCounts {
+    fn count(&mut self, kind: RecordKind) {
         match kind {
-            Kind::OnWork => self.on_work += 1,
-            Kind::Other => self.others += 1,
+            RecordKind::Work => self.on_work += 1,
+            RecordKind::Other => self.others += 1,
         }
     }
 
@@ -116,37 +116,37 @@
     }
 }
 
-impl Waiting {
-    fn tell_dropped(&mut self) {
+impl Queue {
+    fn push_dropped_notice(&mut self) {
         if !self.dropped.any() {
             return;
         }
-        let Dropped { on_work, others } = std::mem::take(&mut self.dropped);
+        let DroppedCounts { on_work, others } = std::mem::take(&mut self.dropped);
         let line =
             format!("{{\"msg\":\"lines dropped\",\"on_work\":{on_work},\"others\":{others}}}\n");
         self.bytes.extend_from_slice(line.as_bytes());
     }
 }
 
-/// Formats lines by their kind, each with a buffer for its own pieces.
-struct ByKind {
+/// Formats records of each kind through an appender of its own.
+struct KindDrain {
     on_work: Formatter,
     others: Formatter,
 }
 
-/// Writing to a buffer in memory does not fail.
+/// Errors are ignored because writing to memory does not fail.
 type Formatter = IgnoreResult<Mutex<Json<Appender>>>;
 
-impl ByKind {
+impl KindDrain {
     fn new(buffer: &Arc<Buffer>) -> Self {
         Self {
-            on_work: formatter(buffer, Kind::OnWork),
-            others: formatter(buffer, Kind::Other),
+            on_work: formatter(buffer, RecordKind::Work),
+            others: formatter(buffer, RecordKind::Other),
         }
     }
 }
 
-impl Drain for ByKind {
+impl Drain for KindDrain {
     type Ok = ();
     type Err = Never;
 
@@ -158,7 +158,7 @@
     }
 }
 
-fn formatter(buffer: &Arc<Buffer>, kind: Kind) -> Formatter {
+fn formatter(buffer: &Arc<Buffer>, kind: RecordKind) -> Formatter {
     let appender = Appender {
         buffer: Arc::clone(buffer),
         line: Vec::new(),
@@ -176,7 +176,7 @@
     Mutex::new(json).ignore_res()
 }
 
-/// Writes what waits when dropped, and ends the writing thread.
+/// Writes the queued records and joins the writer thread when dropped.
 #[derive(Debug)]
 pub struct LogGuard {
     buffer: Arc<Buffer>,
@@ -193,21 +193,21 @@
     }
 }
 
-/// The root logger, to standard output; each line carries the instance and its
-/// failure domain.
+/// Creates the root logger, which writes to standard output; each record has the
+/// instance and its failure domain.
 ///
 /// # Errors
 ///
-/// When the writing thread cannot be started.
+/// Fails if the writer thread cannot be spawned.
 pub fn root_logger(instance: &str, failure_domain: &str) -> io::Result<(Logger, LogGuard)> {
     root_logger_to(io::stdout(), instance, failure_domain)
 }
 
-/// The same, to `out`.
+/// Creates a root logger that writes to `out`; see [`root_logger`].
 ///
 /// # Errors
 ///
-/// When the writing thread cannot be started.
+/// Fails if the writer thread cannot be spawned.
 pub fn root_logger_to(
     out: impl Write + Send + 'static,
     instance: &str,
@@ -218,12 +218,12 @@
     let writer = thread::Builder::new()
         .name("log".to_owned())
         .stack_size(STACK_BYTES)
-        .spawn(move || write_out(&shared, out))?;
+        .spawn(move || run_writer(&shared, out))?;
     let fields = o!(
         "instance" => instance.to_owned(),
         "failure_domain" => failure_domain.to_owned(),
     );
-    let logger = Logger::root(ByKind::new(&buffer), fields);
+    let logger = Logger::root(KindDrain::new(&buffer), fields);
     let guard = LogGuard {
         buffer,
         writer: Some(writer),
@@ -231,28 +231,28 @@
     Ok((logger, guard))
 }
 
-/// Milliseconds since 1970, by the machine's time of day.
-pub fn unix_ms() -> u64 {
+/// Unix time in milliseconds.
+pub(crate) fn unix_ms() -> u64 {
     let since = std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH);
     since.map_or(0, |since| since.as_millis() as u64)
 }
 
-fn write_out(buffer: &Buffer, mut out: impl Write) {
+fn run_writer(buffer: &Buffer, mut out: impl Write) {
     loop {
-        let mut waiting = buffer.lock();
-        while waiting.bytes.is_empty() && !waiting.closed {
-            waiting = buffer
+        let mut queue = buffer.lock();
+        while queue.bytes.is_empty() && !queue.closed {
+            queue = buffer
                 .changed
-                .wait(waiting)
+                .wait(queue)
                 .unwrap_or_else(PoisonError::into_inner);
         }
-        let closed = waiting.closed;
-        drop(waiting);
+        let closed = queue.closed;
+        drop(queue);
         if !closed {
             thread::sleep(FLUSH_DELAY);
         }
         let bytes = std::mem::take(&mut buffer.lock().bytes);
-        // With nobody reading there is nowhere to report the failure to.
+        // A write error on the log itself cannot be reported anywhere.
         drop(out.write_all(&bytes));
         drop(out.flush());
         if closed {
--- a/crates/instance/src/metrics.rs
+++ b/crates/instance/src/metrics.rs
@@ -1,4 +1,4 @@
-//! Counters and latency histograms, as text for a collector.
+//! Prometheus metrics of an instance.
 
 use prometheus::{
     Encoder, Histogram, HistogramOpts, IntCounter, IntCounterVec, IntGauge, Opts, Registry,
@@ -6,28 +6,28 @@
 };
 use trefoil_core::dispatch::owner::Sizes;
 
-/// Bounds of latency histograms, milliseconds: from a call inside a failure
-/// domain to the longest job.
-const BOUNDS_MS: [f64; 12] = [
+/// Bucket bounds of latency histograms in milliseconds, from a call inside a
+/// failure domain to the longest job.
+const BUCKETS_MS: [f64; 12] = [
     0.5, 1.0, 2.0, 5.0, 10.0, 25.0, 50.0, 100.0, 250.0, 500.0, 1000.0, 2500.0,
 ];
 
-/// All metrics of one instance.
+/// The metrics registry of one instance.
 pub struct Metrics {
     registry: Registry,
-    /// Callers' requests by outcome.
+    /// Callers' requests, labeled by outcome.
     pub answers: IntCounterVec,
-    /// Time from a whole request to its answer.
+    /// Milliseconds from a fully received request to its answer.
     pub answer_ms: Histogram,
-    /// Starts ordered.
-    pub starts: IntCounter,
-    /// Time until a worker answered a start.
-    pub start_answer_ms: Histogram,
-    /// Stops ordered.
-    pub stops: IntCounter,
-    /// Holds ordered.
-    pub lease_renewals: IntCounter,
-    /// Requests that could not be read, or name nothing that is there.
+    /// Start orders sent to workers.
+    pub(crate) starts: IntCounter,
+    /// Milliseconds until a worker answered a start order.
+    pub(crate) start_answer_ms: Histogram,
+    /// Stop orders sent to workers.
+    pub(crate) stops: IntCounter,
+    /// Hold orders sent to workers.
+    pub(crate) lease_renewals: IntCounter,
+    /// Requests that are malformed, match no route or come before the declarations.
     pub bad_requests: IntCounter,
     jobs_awaited: IntGauge,
     jobs_owned: IntGauge,
@@ -40,11 +40,11 @@
 }
 
 impl Metrics {
-    /// Metrics that all stand at zero.
+    /// Registers all metrics, with initial value zero.
     ///
     /// # Errors
     ///
-    /// When a name is used twice, which a test would find.
+    /// Fails if two metrics have the same name.
     pub fn new() -> Result<Self, prometheus::Error> {
         let registry = Registry::new();
         let answers = Opts::new("trefoil_answers_total", "Callers' requests by outcome.");
@@ -86,18 +86,18 @@
         })
     }
 
-    /// Notes whether the failure domain is closed to new tasks.
-    pub fn closed(&self, is_closed: bool) {
+    /// Sets whether the failure domain is closed to new tasks.
+    pub(crate) fn set_closed(&self, is_closed: bool) {
         self.closed.set(i64::from(is_closed));
     }
 
-    /// Notes how many entries of the store cannot be read.
-    pub fn unreadable(&self, entries: usize) {
+    /// Sets the number of store entries that cannot be decoded.
+    pub(crate) fn set_unreadable_entries(&self, entries: usize) {
         self.unreadable.set(entries as i64);
     }
 
-    /// Notes the sizes of the tables.
-    pub fn sizes(&self, jobs_awaited: usize, owned: Sizes) {
+    /// Sets the gauges of jobs, workers and runs.
+    pub(crate) fn set_sizes(&self, jobs_awaited: usize, owned: Sizes) {
         self.jobs_awaited.set(jobs_awaited as i64);
         self.jobs_owned.set(owned.jobs as i64);
         self.jobs_waiting.set(owned.waiting as i64);
@@ -106,11 +106,11 @@
         self.runs.set(owned.runs as i64);
     }
 
-    /// All metrics in the text format of Prometheus.
+    /// Encodes all metrics in the Prometheus text format.
     ///
     /// # Errors
     ///
-    /// When a metric cannot be encoded.
+    /// Fails if a metric cannot be encoded.
     pub fn encode(&self) -> Result<Vec<u8>, prometheus::Error> {
         let mut text = Vec::new();
         TextEncoder::new().encode(&self.registry.gather(), &mut text)?;
@@ -131,7 +131,7 @@
 }
 
 fn histogram(registry: &Registry, name: &str, help: &str) -> Result<Histogram, prometheus::Error> {
-    let options = HistogramOpts::new(name, help).buckets(BOUNDS_MS.to_vec());
+    let options = HistogramOpts::new(name, help).buckets(BUCKETS_MS.to_vec());
     let histogram = Histogram::with_opts(options)?;
     registry.register(Box::new(histogram.clone()))?;
     Ok(histogram)
--- a/crates/instance/src/platform.rs
+++ b/crates/instance/src/platform.rs
@@ -1,6 +1,6 @@
-//! The platform's store and its workers, as the product sees them.
+//! Interfaces to the platform: its store and its workers.
 //!
-//! Implementations translate names and formats and decide nothing.
+//! Implementations translate names and formats only; they make no decisions.
 
 use std::collections::HashMap;
 
@@ -12,72 +12,72 @@
 
 use crate::declarations::DeclarationsUpdate;
 
-/// Why the store could not be used.
+/// Error from a call to the store.
 #[derive(Clone, Debug, Display, Error, PartialEq, Eq)]
 pub enum StoreError {
-    /// No answer: down, slow or cut off.
+    /// The store is down, too slow or unreachable.
     #[display("the store did not answer: {cause}")]
     NoAnswer {
-        /// What the connection said.
+        /// Error of the connection.
         cause: String,
     },
-    /// It answered that it does not serve this call now.
+    /// The store answered with an error status.
     #[display("the store refused with status {status}")]
     Refused {
-        /// HTTP status.
+        /// HTTP status code.
         status: u16,
     },
-    /// It holds something that cannot be read.
-    #[display("the store holds an unreadable value at {key}: {cause}")]
+    /// A stored value cannot be decoded.
+    #[display("cannot decode the store's value at {key}: {cause}")]
     Unreadable {
-        /// The key.
+        /// Key of the entry.
         key: String,
-        /// What is wrong with it.
+        /// Error of the decoder.
         cause: String,
     },
 }
 
-/// Instances and claims, as the store holds them.
+/// Instances, claims and pool counts, as read from the store.
 #[derive(Clone, Debug, Default)]
 pub struct DeploymentState {
     /// Registered instances.
     pub nodes: Vec<Node>,
-    /// Claims with the revisions of their records.
+    /// Claims, each with the revision of its record.
     pub claims: Vec<(ClaimRecord, u64)>,
-    /// Pools whose records cannot be read, with their revisions.
+    /// Pools whose claim records cannot be decoded, with the records' revisions.
     pub unreadable_claims: Vec<(String, u64)>,
-    /// Numbers of pools by failure domain.
+    /// Number of pools by failure domain.
     pub pool_counts: HashMap<String, u32>,
 }
 
 /// The platform's store.
 #[allow(async_fn_in_trait)]
 pub trait Store {
-    /// The newest declarations.
+    /// Reads the newest declarations.
     async fn declarations(&self) -> Result<DeclarationsUpdate, StoreError>;
-    /// All instances and claims.
+    /// Reads all instances, claims and pool counts.
     async fn deployment_state(&self) -> Result<DeploymentState, StoreError>;
-    /// Registered workers of a failure domain.
+    /// Reads the registered workers of a failure domain.
     async fn workers(&self, failure_domain: &str) -> Result<Vec<WorkerRecord>, StoreError>;
-    /// Entries of the last readings that cannot be read, and are passed over.
+    /// Number of entries in the last reads that could not be decoded and were skipped.
     fn unreadable_entries(&self) -> usize;
     /// Registers an instance, or renews its registration.
     async fn register(&self, node: &Node) -> Result<(), StoreError>;
-    /// Ends the registration.
+    /// Removes the instance's registration.
     async fn deregister(&self) -> Result<(), StoreError>;
-    /// Lays out a failure domain's pools, unless that has been done.
+    /// Sets the number of a failure domain's pools, unless it is already set.
     async fn create_pools(&self, failure_domain: &str, pools: u32) -> Result<(), StoreError>;
-    /// Writes a claim if its record still has `revision` (0: none).
+    /// Writes a claim if its record still has `revision`; 0 means that there is none.
     async fn write_claim(&self, record: &ClaimRecord, revision: u64) -> ClaimWrite;
 }
 
-/// The platform's workers.
+/// Client of the workers' API.
 #[allow(async_fn_in_trait)]
 pub trait WorkerClient {
-    /// Starts a run.
+    /// Starts a run of a task.
     async fn start(&self, order: &StartOrder) -> OrderOutcome;
     /// Stops a run.
     async fn stop(&self, order: &StopOrder) -> OrderOutcome;
-    /// Renews leases and lists runs and ends.
+    /// Renews the leases and lists the worker's runs and completions.
     async fn renew(&self, order: &HoldOrder) -> HoldOutcome;
 }
--- a/crates/instance/src/settings.rs
+++ b/crates/instance/src/settings.rs
@@ -1,4 +1,4 @@
-//! The checked settings of an instance.
+//! Loading and validation of instance settings.
 
 use std::fs;
 use std::net::SocketAddr;
@@ -7,53 +7,53 @@
 use derive_more::{Display, Error};
 use serde::Deserialize;
 
-/// Settings of one instance, from a JSON file.
+/// Settings of one instance, read from a JSON file.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct InstanceSettings {
-    /// Name of the instance; another start of it has the same.
+    /// Name of the instance, stable across restarts.
     pub instance: String,
-    /// Failure domain that it runs in.
+    /// Failure domain that the instance runs in.
     pub failure_domain: String,
-    /// Where callers connect.
+    /// Listen address for callers.
     pub callers_address: SocketAddr,
-    /// Where the balancer asks whether it is ready.
+    /// Listen address for the load balancer's readiness checks.
     pub ready_address: SocketAddr,
-    /// Where other instances connect.
+    /// Listen address for links from other instances.
     pub links_address: SocketAddr,
-    /// Where other instances are told to connect, if that is another address.
+    /// Address advertised to other instances; defaults to `links_address`.
     #[serde(default)]
     pub links_advertised_address: Option<SocketAddr>,
-    /// Where metrics are served; none serves none.
+    /// Listen address for metrics; metrics are not served if it is unset.
     #[serde(default)]
     pub metrics_address: Option<SocketAddr>,
-    /// The platform's store.
+    /// Address of the platform's store.
     pub store_address: SocketAddr,
-    /// Link addresses of instances that may be up.
+    /// Link addresses of instances to dial while the store gives no peers.
     #[serde(default)]
     pub seeds: Vec<SocketAddr>,
-    /// Share of its cores that the instance may use; decides what it owns.
+    /// Share of its cores that the instance may use; determines which pools it owns.
     pub cpu_share: f64,
-    /// How many times as fast its processor is.
+    /// Speed factor of its processor; multiplies `cpu_share`.
     #[serde(default = "default_cores")]
     pub cores: f64,
-    /// Time from the operator's closing of a failure domain until no task may
-    /// start there.
+    /// Time after the operator closes a failure domain by which no task may start
+    /// there any more.
     #[serde(default = "default_close_within_ms")]
     pub close_within_ms: u64,
-    /// Time from the request to stop until the process is killed.
+    /// Time from the stop request until the platform kills the process.
     #[serde(default = "default_stop_budget_ms")]
     pub stop_budget_ms: u64,
 }
 
 impl InstanceSettings {
-    /// The address that other instances are told.
-    pub fn links_advertised_address(&self) -> SocketAddr {
+    /// Address advertised to other instances.
+    pub(crate) fn links_advertised_address(&self) -> SocketAddr {
         self.links_advertised_address.unwrap_or(self.links_address)
     }
 
-    /// Processor that the instance may use, thousandths of a core.
-    pub fn weight_millicores(&self) -> u64 {
+    /// CPU available to the instance, in thousandths of a core.
+    pub(crate) fn weight_millicores(&self) -> u64 {
         (self.cpu_share * self.cores * 1000.0) as u64
     }
 }
@@ -62,50 +62,48 @@
     1.0
 }
 
-/// Five seconds, which the platform grants where it grants any.
 fn default_close_within_ms() -> u64 {
     5000
 }
 
-/// Six seconds, which the platform grants everywhere so far.
+/// The platform's stop timeout.
 fn default_stop_budget_ms() -> u64 {
     6000
 }
 
-/// Why settings cannot be used.
+/// Error from loading or validating settings.
 #[derive(Debug, Display, Error)]
+#[expect(missing_docs, reason = "fields explain themselves")]
 pub enum SettingsError {
-    /// The file cannot be read.
+    /// The file could not be read.
     #[display("cannot read settings from {path}: {source}; hint: check --settings")]
     File {
-        /// The file.
         path: String,
-        /// What the system said.
         source: std::io::Error,
     },
-    /// A field is wrong, or the file is no JSON.
-    #[display("settings in {path} are wrong at {field}: {source}")]
+    /// The file is not valid JSON, or a field is missing, unknown or of the wrong type.
+    #[display("invalid settings in {path} at {field}: {source}")]
     Field {
-        /// The file.
         path: String,
-        /// Dotted path of the field; a dot for the whole.
+        /// Dotted path of the field; `.` for the whole file.
         field: String,
-        /// What is wrong.
         source: serde_json::Error,
     },
-    /// A value is outside its limits.
-    #[display("settings in {path} are wrong at {field}: {expected}")]
+    /// A value is out of range.
+    #[display("invalid settings in {path} at {field}: expected {expected}")]
     Value {
-        /// The file.
         path: String,
-        /// The field.
         field: &'static str,
-        /// What may stand there.
+        /// Description of the accepted values.
         expected: &'static str,
     },
 }
 
-/// Loads and checks settings.
+/// Reads settings from a file and validates them.
+///
+/// # Errors
+///
+/// Fails if the file cannot be read or parsed, or a value is out of range.
 pub fn load(path: &Path) -> Result<InstanceSettings, SettingsError> {
     let name = path.display().to_string();
     let text = fs::read_to_string(path).map_err(|source| SettingsError::File {
@@ -115,8 +113,12 @@
     parse(&name, &text)
 }
 
-/// Checks settings that were read from `path`.
-pub fn parse(path: &str, text: &str) -> Result<InstanceSettings, SettingsError> {
+/// Parses and validates settings; `path` is used in error messages only.
+///
+/// # Errors
+///
+/// Fails if `text` cannot be parsed or a value is out of range.
+pub(crate) fn parse(path: &str, text: &str) -> Result<InstanceSettings, SettingsError> {
     let mut json = serde_json::Deserializer::from_str(text);
     let settings: InstanceSettings =
         serde_path_to_error::deserialize(&mut json).map_err(|error| SettingsError::Field {
@@ -130,19 +132,19 @@
         expected,
     };
     if settings.instance.is_empty() {
-        return Err(value("instance", "a name"));
+        return Err(value("instance", "a non-empty name"));
     }
     if settings.failure_domain.is_empty() {
-        return Err(value("failure_domain", "a name"));
+        return Err(value("failure_domain", "a non-empty name"));
     }
     if settings.weight_millicores() == 0 {
-        return Err(value("cpu_share", "at least a thousandth"));
+        return Err(value("cpu_share", "at least 0.001"));
     }
     if settings.close_within_ms == 0 {
-        return Err(value("close_within_ms", "more than 0"));
+        return Err(value("close_within_ms", "a number greater than 0"));
     }
     if settings.stop_budget_ms == 0 {
-        return Err(value("stop_budget_ms", "more than 0"));
+        return Err(value("stop_budget_ms", "a number greater than 0"));
     }
     Ok(settings)
 }
--- a/crates/instance/src/store_polling.rs
+++ b/crates/instance/src/store_polling.rs
@@ -1,9 +1,9 @@
-//! What is read from the store, and when.
+//! Periodic reads of the store, and registration of the instance.
 //!
-//! Reads are plain and periodic: they survive a forgotten history and cost the
-//! same whatever changes. Owners read everything often; others leave that to
-//! the owners that they hear from, which push newer declarations, and read
-//! rarely. Each call is priced, so the periods are as long as the limits allow.
+//! The store is polled instead of watched, so that a compacted history needs no
+//! special case. Owners of pools read often. Other instances receive newer
+//! declarations from the owners that they are linked with and read rarely, since
+//! each call to the store has a cost.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -15,36 +15,36 @@
 use crate::instance::Instance;
 use crate::platform::{Store, StoreError, WorkerClient};
 
-/// Period of an owner's reads: two fit into the two seconds in which
-/// declarations must be in force and draining workers be left alone.
-const OWNER_PERIOD: Duration = Duration::from_millis(700);
-/// Period of the others' reads while an owner tells that it reads.
-const WATCHED_PERIOD: Duration = Duration::from_millis(4000);
-/// Pause after a read that failed.
-const RETRY: Duration = Duration::from_millis(250);
-/// Period of renewing the registration; a third of its life.
-const REGISTER_PERIOD: Duration = Duration::from_millis(1500);
-
-/// Longest pause after a registration that failed, as doublings of [`RETRY`]: a
-/// second, a fifth of the registration's life.
-const REGISTER_DOUBLINGS_MAX: u32 = 2;
-
-/// The number of registered workers has settled when it has grown by no more
-/// than this ...
-const SETTLED_GROWTH_PERCENT: usize = 5;
-/// ... for so long: a worker registers with its heartbeat, each 1500 ms.
-const SETTLED_MS: u64 = 1600;
-
-/// Remembers whether a dependency answered, to tell of changes only.
+/// Interval between an owner's reads. Two fit into the two seconds within which new
+/// declarations must be in force and draining workers get no new tasks.
+const OWNER_READ_INTERVAL: Duration = Duration::from_millis(700);
+/// Interval between reads while a linked owner reports that it reads the store.
+const FOLLOWER_READ_INTERVAL: Duration = Duration::from_millis(4000);
+/// Delay after a failed read.
+const RETRY_DELAY: Duration = Duration::from_millis(250);
+/// Interval between renewals of the registration; a third of its TTL.
+const REGISTRATION_INTERVAL: Duration = Duration::from_millis(1500);
+
+/// Maximum number of doublings of [`RETRY_DELAY`] after failed registrations, which
+/// keeps the delay well below the registration's TTL.
+const REGISTRATION_DOUBLINGS_MAX: u32 = 2;
+
+/// The number of registered workers counts as stable once it has grown by no more
+/// than this percentage during [`STABLE_MS`].
+const STABLE_GROWTH_PERCENT: usize = 5;
+/// Longer than the interval at which workers register, 1500 ms.
+const STABLE_MS: u64 = 1600;
+
+/// Remembers whether the last call failed, so that only changes are logged.
 #[derive(Default)]
-struct Health {
+struct StoreHealth {
     failed: bool,
 }
 
-impl Health {
-    fn note<E>(
+impl StoreHealth {
+    fn log_change<P>(
         &mut self,
-        instance: &Instance<E>,
+        instance: &Instance<P>,
         feed: &'static str,
         result: Result<(), StoreError>,
     ) {
@@ -58,126 +58,127 @@
     }
 }
 
-/// Reads the store until the process ends.
-pub fn start<E: Store + WorkerClient + 'static>(instance: &Rc<Instance<E>>) {
-    tokio::task::spawn_local(read_forever(Rc::clone(instance)));
-    tokio::task::spawn_local(register_forever(Rc::clone(instance)));
+/// Spawns the tasks that poll the store and renew the registration.
+pub fn start<P: Store + WorkerClient + 'static>(instance: &Rc<Instance<P>>) {
+    tokio::task::spawn_local(poll_store(Rc::clone(instance)));
+    tokio::task::spawn_local(keep_registered(Rc::clone(instance)));
 }
 
-async fn read_forever<E: Store + WorkerClient + 'static>(instance: Rc<Instance<E>>) {
-    let mut health = Health::default();
-    let mut registered = Registered::default();
+async fn poll_store<P: Store + WorkerClient + 'static>(instance: Rc<Instance<P>>) {
+    let mut health = StoreHealth::default();
+    let mut worker_count = WorkerCount::default();
     loop {
-        let poked = instance.store_poke.notified();
-        let result = read_once(&instance, &mut registered).await;
+        let read_requested = instance.store_read_requested.notified();
+        let result = read_once(&instance, &mut worker_count).await;
         let failed = result.is_err();
-        health.note(&instance, "reads", result);
+        health.log_change(&instance, "reads", result);
         health.failed = failed;
-        let left_to_others =
-            !instance.owns_pools() && instance.store_is_watched() && !instance.is_unsettled();
-        let period = match (failed, left_to_others) {
-            (true, _) => RETRY,
-            (false, true) => WATCHED_PERIOD,
-            (false, false) => OWNER_PERIOD,
+        let left_to_owners = !instance.owns_pools()
+            && instance.owner_reads_store()
+            && !instance.is_awaiting_successor();
+        let delay = match (failed, left_to_owners) {
+            (true, _) => RETRY_DELAY,
+            (false, true) => FOLLOWER_READ_INTERVAL,
+            (false, false) => OWNER_READ_INTERVAL,
         };
         tokio::select! {
-            () = tokio::time::sleep(period) => {}
-            () = poked => {}
+            () = tokio::time::sleep(delay) => {}
+            () = read_requested => {}
         }
     }
 }
 
-async fn read_once<E: Store + WorkerClient + 'static>(
-    instance: &Rc<Instance<E>>,
-    registered: &mut Registered,
+async fn read_once<P: Store + WorkerClient + 'static>(
+    instance: &Rc<Instance<P>>,
+    worker_count: &mut WorkerCount,
 ) -> Result<(), StoreError> {
     let domain = &instance.settings.failure_domain;
     let workers = async {
         if instance.owns_pools() {
-            instance.workers_read(instance.edge.workers(domain).await?);
+            instance.apply_workers(instance.platform.workers(domain).await?);
         }
         Ok(())
     };
     let deployment = async {
         let began_ms = instance.now_ms();
-        instance.deployment_read(instance.edge.deployment_state().await?, began_ms);
-        if instance.may_lay_out() {
-            lay_out(instance, registered).await?;
+        instance.apply_deployment_state(instance.platform.deployment_state().await?, began_ms);
+        if instance.should_create_pools() {
+            create_pools(instance, worker_count).await?;
         }
         Ok(())
     };
     let declarations = async {
         let began_ms = instance.now_ms();
-        instance.declarations_read(instance.edge.declarations().await?, began_ms);
+        instance.apply_stored_declarations(instance.platform.declarations().await?, began_ms);
         Ok(())
     };
-    // One that fails does not end the others: declarations have a time limit.
+    // A failing read does not cancel the others: declarations must arrive in time.
     let (workers, deployment, declarations) = tokio::join!(workers, deployment, declarations);
     workers.and(deployment).and(declarations)
 }
 
-/// How many workers were registered, and since when hardly more came.
+/// Number of registered workers, and since when it has been stable.
 #[derive(Default)]
-struct Registered {
+struct WorkerCount {
     workers: usize,
     since_ms: u64,
 }
 
-impl Registered {
-    /// Whether the number has settled: workers register over some seconds when
-    /// everything starts together.
-    fn settles(&mut self, workers: usize, now_ms: u64) -> bool {
-        if workers * 100 > self.workers * (100 + SETTLED_GROWTH_PERCENT) {
+impl WorkerCount {
+    /// Whether the number of workers is stable; when all workers start at once, they
+    /// register over several seconds.
+    fn observe(&mut self, workers: usize, now_ms: u64) -> bool {
+        if workers * 100 > self.workers * (100 + STABLE_GROWTH_PERCENT) {
             self.workers = workers;
             self.since_ms = now_ms;
         }
-        workers > 0 && now_ms >= self.since_ms + SETTLED_MS
+        workers > 0 && now_ms >= self.since_ms + STABLE_MS
     }
 }
 
-/// Lays out the failure domain's pools once its workers have registered.
-async fn lay_out<E: Store + WorkerClient + 'static>(
-    instance: &Rc<Instance<E>>,
-    registered: &mut Registered,
+/// Creates the failure domain's pools once the number of its workers is stable.
+async fn create_pools<P: Store + WorkerClient + 'static>(
+    instance: &Rc<Instance<P>>,
+    worker_count: &mut WorkerCount,
 ) -> Result<(), StoreError> {
     let domain = &instance.settings.failure_domain;
-    let workers = instance.edge.workers(domain).await?.len();
-    if !registered.settles(workers, instance.now_ms()) {
+    let workers = instance.platform.workers(domain).await?.len();
+    if !worker_count.observe(workers, instance.now_ms()) {
         return Ok(());
     }
     let pools = pool::count_for(workers);
-    info!(instance.log, "laying out pools"; "workers" => workers, "pools" => pools);
-    instance.edge.create_pools(domain, pools).await?;
+    info!(instance.log, "creating pools"; "workers" => workers, "pools" => pools);
+    instance.platform.create_pools(domain, pools).await?;
     let began_ms = instance.now_ms();
-    instance.deployment_read(instance.edge.deployment_state().await?, began_ms);
+    instance.apply_deployment_state(instance.platform.deployment_state().await?, began_ms);
     Ok(())
 }
 
-async fn register_forever<E: Store + WorkerClient + 'static>(instance: Rc<Instance<E>>) {
-    let mut health = Health::default();
+async fn keep_registered<P: Store + WorkerClient + 'static>(instance: Rc<Instance<P>>) {
+    let mut health = StoreHealth::default();
     let mut failures = 0;
     loop {
-        let result = instance.edge.register(&instance.me).await;
+        let result = instance.platform.register(&instance.node).await;
         let failed = result.is_err();
-        health.note(&instance, "registration", result);
+        health.log_change(&instance, "registration", result);
         health.failed = failed;
         failures = if failed { failures + 1 } else { 0 };
-        let period = match failures {
-            0 => REGISTER_PERIOD,
-            _ => backoff(&instance.me.name, failures),
+        let delay = match failures {
+            0 => REGISTRATION_INTERVAL,
+            _ => registration_backoff(&instance.node.name, failures),
         };
-        tokio::time::sleep(period).await;
+        tokio::time::sleep(delay).await;
         if instance.is_leaving() {
             return;
         }
     }
 }
 
-/// Pause after a registration that failed so many times: all instances of a
-/// large deployment that start together make more writes than the store takes
-/// in a second, so each waits longer and for a time of its own.
-fn backoff(name: &str, failures: u32) -> Duration {
-    let longest = RETRY * 2_u32.pow(failures.min(REGISTER_DOUBLINGS_MAX));
-    let draw = xxh3_64_with_seed(name.as_bytes(), u64::from(failures)) >> 11;
-    longest.mul_f64((1.0 + draw as f64 / (1_u64 << 53) as f64) / 2.0)
+/// Exponential delay with jitter after consecutive failed registrations: when all
+/// instances of a large cluster start at once, their writes exceed the store's rate
+/// limit.
+fn registration_backoff(name: &str, failures: u32) -> Duration {
+    let delay_max = RETRY_DELAY * 2_u32.pow(failures.min(REGISTRATION_DOUBLINGS_MAX));
+    let jitter = xxh3_64_with_seed(name.as_bytes(), u64::from(failures)) >> 11;
+    delay_max.mul_f64((1.0 + jitter as f64 / (1_u64 << 53) as f64) / 2.0)
 }
--- a/crates/instance/tests/log.rs
+++ b/crates/instance/tests/log.rs
@@ -1,4 +1,4 @@
-//! Lines on beliefs are kept while lines on work are dropped.
+//! Records on the instance's own state are kept while those on jobs are dropped.
 
 use std::io::{self, Write};
 use std::sync::{Arc, Condvar, Mutex};
@@ -6,12 +6,12 @@
 use slog::info;
 use trefoil_instance::log::{WORK_TAG, root_logger_to};
 
-/// Twice what the buffer holds.
-const LINES: usize = 3000;
+/// Twice as many records as the buffer holds.
+const RECORDS: usize = 3000;
 
-/// An output that takes nothing until it is opened.
+/// A writer that blocks until it is opened.
 #[derive(Clone, Default)]
-struct Output(Arc<(Mutex<State>, Condvar)>);
+struct BlockingWriter(Arc<(Mutex<State>, Condvar)>);
 
 #[derive(Default)]
 struct State {
@@ -19,7 +19,7 @@
     written: Vec<u8>,
 }
 
-impl Output {
+impl BlockingWriter {
     fn open(&self) {
         self.0.0.lock().unwrap().open = true;
         self.0.1.notify_all();
@@ -35,7 +35,7 @@
     }
 }
 
-impl Write for Output {
+impl Write for BlockingWriter {
     fn write(&mut self, bytes: &[u8]) -> io::Result<usize> {
         let state = self.0.0.lock().unwrap();
         let mut state = self.0.1.wait_while(state, |state| !state.open).unwrap();
@@ -49,24 +49,23 @@
 }
 
 #[test]
-fn a_change_of_owner_is_in_the_log_however_many_jobs_it_touches() {
-    // Load pattern: an owner is lost, and each of its jobs brings several lines
-    // before the line that says so.
-    let output = Output::default();
-    let (log, guard) = root_logger_to(output.clone(), "forde-1", "forde").unwrap();
-    for job in 0..LINES {
+fn ownership_changes_are_logged_when_job_records_fill_the_buffer() {
+    // When an owner is lost, each of its jobs is logged before the ownership change.
+    let writer = BlockingWriter::default();
+    let (log, guard) = root_logger_to(writer.clone(), "forde-1", "forde").unwrap();
+    for job in 0..RECORDS {
         info!(log, #WORK_TAG, "delegation revoked"; "job" => job);
     }
     info!(log, "ownership released"; "pool" => "forde/0");
-    output.open();
+    writer.open();
     drop(guard);
-    let lines = output.lines();
-    let of = |msg: &str| lines.iter().filter(|line| line["msg"] == msg).count();
-    assert_eq!(of("ownership released"), 1);
+    let lines = writer.lines();
+    let count = |msg: &str| lines.iter().filter(|line| line["msg"] == msg).count();
+    assert_eq!(count("ownership released"), 1);
     let dropped = lines.iter().find(|line| line["msg"] == "lines dropped");
-    let dropped = dropped.expect("the lines that did not fit are counted");
+    let dropped = dropped.expect("dropped records are counted");
     assert_eq!(dropped["others"], 0);
-    let kept = of("delegation revoked") as u64;
-    assert_eq!(kept + dropped["on_work"].as_u64().unwrap(), LINES as u64);
+    let kept = count("delegation revoked") as u64;
+    assert_eq!(kept + dropped["on_work"].as_u64().unwrap(), RECORDS as u64);
     assert!(kept > 0);
 }
--- a/crates/instance/tests/suspension.rs
+++ b/crates/instance/tests/suspension.rs
@@ -1,5 +1,5 @@
-//! An instance on a machine that is suspended: the runtime's timers do not see
-//! the time that passed, the instance's clock does.
+//! Suspension of the machine: the instance's clock includes the suspended time, the
+//! runtime's timers do not.
 
 use std::cell::Cell;
 use std::collections::HashMap;
@@ -20,17 +20,17 @@
 use trefoil_schema::dispatch::Node;
 
 const DOMAIN: &str = "forde";
-/// Others have given up its links and may own its pool by then.
+/// Long enough for peers to close their links and take over the pool.
 const SUSPENDED_MS: u64 = 3000;
-const SOON: Duration = Duration::from_secs(20);
+const TIMEOUT: Duration = Duration::from_secs(20);
 
-/// A store with one vacant pool that grants each claim, and no worker.
+/// A platform without workers whose store has one pool and accepts every claim.
 #[derive(Default)]
-struct Edge {
+struct FakePlatform {
     claims: Rc<Cell<u64>>,
 }
 
-impl Store for Edge {
+impl Store for FakePlatform {
     async fn declarations(&self) -> Result<DeclarationsUpdate, StoreError> {
         Ok(DeclarationsUpdate {
             confirmed_revision: 1,
@@ -73,7 +73,7 @@
     }
 }
 
-impl WorkerClient for Edge {
+impl WorkerClient for FakePlatform {
     async fn start(&self, _order: &StartOrder) -> OrderOutcome {
         OrderOutcome::NoAnswer
     }
@@ -88,16 +88,16 @@
 }
 
 fn settings() -> InstanceSettings {
-    let anywhere = "127.0.0.1:0".parse().unwrap();
+    let any_port = "127.0.0.1:0".parse().unwrap();
     InstanceSettings {
         instance: "a".to_owned(),
         failure_domain: DOMAIN.to_owned(),
-        callers_address: anywhere,
-        ready_address: anywhere,
-        links_address: anywhere,
+        callers_address: any_port,
+        ready_address: any_port,
+        links_address: any_port,
         links_advertised_address: None,
         metrics_address: None,
-        store_address: anywhere,
+        store_address: any_port,
         seeds: Vec::new(),
         cpu_share: 1.0,
         cores: 1.0,
@@ -106,15 +106,16 @@
     }
 }
 
-async fn until(what: &str, mut holds: impl FnMut() -> bool) {
+async fn wait_until(what: &str, mut condition: impl FnMut() -> bool) {
     let began = std::time::Instant::now();
-    while !holds() {
-        assert!(began.elapsed() < SOON, "never {what}");
+    while !condition() {
+        assert!(began.elapsed() < TIMEOUT, "timed out: {what}");
         tokio::time::sleep(Duration::from_millis(1)).await;
     }
 }
 
-/// Moves the clock as time passes, so that only a jump is a suspension.
+/// Advances the clock in real time, by at most 20 ms at once, so that a busy machine
+/// does not look like a suspension.
 async fn run_clock(now_ms: Rc<Cell<u64>>) {
     let mut before = std::time::Instant::now();
     loop {
@@ -126,7 +127,7 @@
 }
 
 #[test]
-fn an_owner_that_was_suspended_has_lost_its_pool_and_claims_it_anew() {
+fn a_suspended_owner_releases_its_pool_and_claims_it_again() {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build()
@@ -134,27 +135,27 @@
     LocalSet::new().block_on(&runtime, async {
         let now_ms = Rc::new(Cell::new(0));
         spawn_local(run_clock(Rc::clone(&now_ms)));
-        let edge = Edge::default();
-        let claims = Rc::clone(&edge.claims);
+        let platform = FakePlatform::default();
+        let claims = Rc::clone(&platform.claims);
         let log = slog::Logger::root(slog::Discard, slog::o!());
         let clock = Clock::Manual(Rc::clone(&now_ms));
         let metrics = Metrics::new().unwrap();
-        let instance = Instance::with_clock(settings(), log, metrics, edge, clock);
+        let instance = Instance::with_clock(settings(), log, metrics, platform, clock);
         spawn_local(Rc::clone(&instance).tick_forever());
         store_polling::start(&instance);
-        until("an owner", || instance.owns_pools()).await;
+        wait_until("ownership acquired", || instance.owns_pools()).await;
         let before = claims.get();
         now_ms.set(now_ms.get() + SUSPENDED_MS);
-        until("released", || !instance.owns_pools()).await;
-        until("an owner again", || instance.owns_pools()).await;
-        assert!(claims.get() > before, "under a claim of its own");
+        wait_until("ownership released", || !instance.owns_pools()).await;
+        wait_until("ownership acquired again", || instance.owns_pools()).await;
+        assert!(claims.get() > before, "the pool is claimed again");
     });
 }
 
 #[test]
-fn the_clock_counts_from_its_start_and_never_goes_back() {
+fn clock_starts_at_zero_and_is_monotonic() {
     let clock = Clock::start();
-    assert!(matches!(clock, Clock::Boot { .. }), "{clock:?}");
+    assert!(matches!(clock, Clock::BootTime { .. }), "{clock:?}");
     let first_ms = clock.now_ms();
     assert!(first_ms < 1000);
     std::thread::sleep(Duration::from_millis(20));
