--- a/crates/core/src/dispatch/owner/answers.rs
+++ b/crates/core/src/dispatch/owner/order_results.rs
@@ -1,14 +1,14 @@
 //! What became of starts and stops.
 //!
 //! A rejected order was not carried out; an order without an answer may have
-//! been, or may be yet (see [`holds`]); a refused fence ends
+//! been, or may be yet (see [`lease_renewal`]); a refused fence ends
 //! ownership, unless the order was outranked by a later one of this owner.
 
 use super::*;
 
 impl Owner {
     /// Takes in what became of a start.
-    pub fn start_answered(&mut self, now_ms: u64, answer: &Answered, out: &mut Vec<Command>) {
+    pub fn on_start_result(&mut self, now_ms: u64, answer: &OrderResult, out: &mut Vec<Command>) {
         if !answer.fence.same_ownership(self.fence) {
             return;
         }
@@ -19,7 +19,7 @@
         let position = worker.position(&answer.task, answer.run_id);
         match answer.outcome {
             OrderOutcome::Done { clock_ms } => {
-                worker.read_clock(now_ms, clock_ms);
+                worker.observe_clock(now_ms, clock_ms);
                 if let Some(position) = position {
                     let ordered_ms = worker.runs[position].ordered_ms;
                     self.answer_times.answered(now_ms - ordered_ms);
@@ -32,19 +32,29 @@
             }
             OrderOutcome::NoAnswer if newest => {
                 self.answer_times.unanswered();
-                worker.raise();
-                out.push(Command::Note(Note::run("start unanswered", worker, answer)));
+                worker.raise_fence();
+                out.push(Command::Log(LogEvent::run(
+                    "start unanswered",
+                    worker,
+                    answer,
+                )));
             }
             OrderOutcome::NoAnswer => self.answer_times.unanswered(),
             OrderOutcome::Fenced if newest => self.outranked(now_ms, answer.worker, out),
-            OrderOutcome::OtherLife => self.life_over(now_ms, answer.worker, out),
+            OrderOutcome::WrongIncarnation => self.life_over(now_ms, answer.worker, out),
             OrderOutcome::Fenced | OrderOutcome::Rejected(_) => {
-                out.push(Command::Note(Note::run("start rejected", worker, answer)));
+                out.push(Command::Log(LogEvent::run(
+                    "start rejected",
+                    worker,
+                    answer,
+                )));
                 match answer.outcome {
-                    OrderOutcome::Rejected(Rejection::Unhealthy) => worker.trust.failed(now_ms),
+                    OrderOutcome::Rejected(Rejection::Unhealthy) => {
+                        worker.health.record_failure(now_ms)
+                    }
                     OrderOutcome::Rejected(Rejection::OldRun) => self.run_seed += RUN_LEAP,
                     // What is known of it is wrong: look again.
-                    OrderOutcome::Rejected(_) => worker.raise(),
+                    OrderOutcome::Rejected(_) => worker.raise_fence(),
                     _ => {}
                 }
                 if let Some(position) = position {
@@ -53,7 +63,7 @@
                     // nothing against the worker.
                     let delay_ms = match answer.outcome {
                         OrderOutcome::Fenced => 0,
-                        _ => RETRY_MS,
+                        _ => RETRY_BACKOFF_MAX_MS,
                     };
                     self.requeue(now_ms, &run.owner, delay_ms);
                 }
@@ -64,7 +74,7 @@
     }
 
     /// Takes in what became of a stop; the run's end is listed by a hold.
-    pub fn stop_answered(&mut self, now_ms: u64, answer: &Answered, out: &mut Vec<Command>) {
+    pub fn on_stop_result(&mut self, now_ms: u64, answer: &OrderResult, out: &mut Vec<Command>) {
         if !answer.fence.same_ownership(self.fence) {
             return;
         }
@@ -73,10 +83,10 @@
         };
         let newest = answer.fence == worker.fence;
         match answer.outcome {
-            OrderOutcome::Done { clock_ms } => worker.read_clock(now_ms, clock_ms),
-            OrderOutcome::NoAnswer if newest => worker.raise(),
+            OrderOutcome::Done { clock_ms } => worker.observe_clock(now_ms, clock_ms),
+            OrderOutcome::NoAnswer if newest => worker.raise_fence(),
             OrderOutcome::Fenced if newest => self.outranked(now_ms, answer.worker, out),
-            OrderOutcome::OtherLife => self.life_over(now_ms, answer.worker, out),
+            OrderOutcome::WrongIncarnation => self.life_over(now_ms, answer.worker, out),
             OrderOutcome::NoAnswer | OrderOutcome::Fenced | OrderOutcome::Rejected(_) => {}
         }
         self.dirty.insert(answer.worker);
@@ -86,9 +96,9 @@
     /// Another owner has taken the worker: this one is no longer the owner.
     pub(super) fn outranked(&mut self, now_ms: u64, key: WorkerKey, out: &mut Vec<Command>) {
         let worker = &mut self.workers[key];
-        worker.standing = Standing::Outranked;
-        out.push(Command::Note(Note::worker("outranked", worker)));
-        out.push(Command::Outranked);
+        worker.fencing = FencingState::Superseded;
+        out.push(Command::Log(LogEvent::worker("outranked", worker)));
+        out.push(Command::Superseded);
         self.release(now_ms, out);
     }
 
@@ -102,7 +112,7 @@
             self.queue.invalidate();
         }
         self.dirty.remove(&key);
-        out.push(Command::Note(Note::worker(
+        out.push(Command::Log(LogEvent::worker(
             "worker incarnation ended",
             &worker,
         )));
--- a/crates/core/src/dispatch/owner/reserve.rs
+++ b/crates/core/src/dispatch/owner/reservation.rs
@@ -7,8 +7,8 @@
 //! nothing. So once it is late, the workers that will soonest have room for its
 //! tasks take nothing else. Only late jobs are worth that: kept room is idle.
 
-use super::super::worker::Room;
-use super::place::{Open, room_of};
+use super::super::worker::Resources;
+use super::placement::{Open, room_of};
 use super::queue::{Lateness, lateness};
 use super::*;
 
@@ -25,21 +25,21 @@
         if !job.started || lateness(job, now_ms) == Lateness::InTime {
             return;
         }
-        let tasks = job.tasks.iter().filter(|task| task.waits());
+        let tasks = job.tasks.iter().filter(|task| task.is_waiting());
         let tasks = tasks.take(KEPT_MAX);
-        let rooms: Vec<Room> = tasks.map(|task| room_of(job.phase(task))).collect();
+        let rooms: Vec<Resources> = tasks.map(|task| room_of(job.phase(task))).collect();
         let Some(room) = rooms.first() else {
             return;
         };
         let workers = self.workers.iter();
-        let workers = workers.filter(|(_, worker)| worker.is_open(now_ms));
+        let workers = workers.filter(|(_, worker)| worker.accepts_tasks(now_ms));
         let mut soonest: Vec<(u64, WorkerKey)> = workers
             .filter_map(|(key, worker)| Some((free_at_ms(worker, room)?, key)))
             .collect();
         soonest.sort_unstable();
         for (_, kept) in soonest.into_iter().take(rooms.len()) {
             if let Some(open) = open.iter_mut().find(|open| open.key == kept) {
-                open.free = Room::default();
+                open.free = Resources::default();
             }
         }
     }
@@ -47,19 +47,19 @@
 
 /// When a worker has so much room, by the expected ends of its runs; none if it
 /// never has.
-fn free_at_ms(worker: &Worker, room: &Room) -> Option<u64> {
-    let mut runs: Vec<(u64, Room)> = worker
+fn free_at_ms(worker: &Worker, room: &Resources) -> Option<u64> {
+    let mut runs: Vec<(u64, Resources)> = worker
         .runs
         .iter()
         .map(|run| {
             (
                 run.ordered_ms + run.expected_ms,
-                run.room.unwrap_or_default(),
+                run.resources.unwrap_or_default(),
             )
         })
         .collect();
     runs.sort_by_key(|&(end_ms, _)| end_ms);
-    let mut free = worker.free();
+    let mut free = worker.free_resources();
     let mut at_ms = 0;
     for (end_ms, freed) in runs {
         if free.fits(room) {
--- a/crates/core/tests/dispatch_entry.rs
+++ b/crates/core/tests/dispatch_entry.rs
@@ -3,17 +3,17 @@
 mod dispatch_support;
 
 use dispatch_support::job;
-use trefoil_core::dispatch::entry::{Answer, Cause, Command, Entry, Owned};
+use trefoil_core::dispatch::entry::{Answer, Command, Entry, PoolOwner, RevocationCause};
 use trefoil_core::dispatch::limits::{
-    BEAT_MS, DELEGATED_GAP_MS, LINK_SILENT_MS, OWNER_FOLLOWS_MS, UNPLACED_MAX_MS,
+    HEARTBEAT_MS, LINK_TIMEOUT_MS, PLACEMENT_TIMEOUT_MS, REDELEGATION_DELAY_MS, VACANT_POOL_WAIT_MS,
 };
-use trefoil_core::dispatch::owner::Ending;
+use trefoil_core::dispatch::owner::JobResult;
 use trefoil_schema::dispatch::{Claim, Load, Node, Outcome};
 
 const FAR_MS: u64 = 1_000_000;
 
-fn owned(pool: &str, owner: &str) -> Owned {
-    Owned {
+fn owned(pool: &str, owner: &str) -> PoolOwner {
+    PoolOwner {
         pool: pool.to_owned(),
         owner: owner.to_owned(),
     }
@@ -33,8 +33,8 @@
     }
 }
 
-fn ending(job_id: &str, outcome: Outcome) -> Ending {
-    Ending {
+fn ending(job_id: &str, outcome: Outcome) -> JobResult {
+    JobResult {
         job_id: job_id.to_owned(),
         outcome,
         retry_after_ms: 0,
@@ -54,7 +54,7 @@
 
 fn seen(entry: &mut Entry, now_ms: u64, pool: &str, owner: &str, backlog: u64) -> Vec<Command> {
     let mut out = Vec::new();
-    entry.pool_seen(now_ms, &claim(pool, owner), load(backlog), &mut out);
+    entry.update_pool(now_ms, &claim(pool, owner), load(backlog), &mut out);
     out
 }
 
@@ -65,7 +65,7 @@
         free_millicores: 1_000_000,
         ..load(0)
     };
-    entry.pool_seen(now_ms, &claim(pool, owner), wide, &mut Vec::new());
+    entry.update_pool(now_ms, &claim(pool, owner), wide, &mut Vec::new());
 }
 
 fn submit(entry: &mut Entry, now_ms: u64, ticket: u64, id: &str) -> Vec<Command> {
@@ -74,7 +74,7 @@
     out
 }
 
-fn delegated(commands: &[Command]) -> Vec<(Owned, u64, Option<String>)> {
+fn delegated(commands: &[Command]) -> Vec<(PoolOwner, u64, Option<String>)> {
     let delegated = commands.iter().filter_map(|command| match command {
         Command::Delegate {
             to,
@@ -92,7 +92,10 @@
 
 fn answers(commands: &[Command]) -> Vec<(u64, Answer)> {
     let answers = commands.iter().filter_map(|command| match command {
-        Command::Answer { ticket, answer } => Some((*ticket, *answer)),
+        Command::Answer {
+            request_id: ticket,
+            answer,
+        } => Some((*ticket, *answer)),
         _ => None,
     });
     answers.collect()
@@ -132,7 +135,7 @@
     let out = seen(&mut entry, 120, "forde/0", "c", 0);
     let expected = (
         owned("forde/0", "c"),
-        DELEGATED_GAP_MS - 20,
+        REDELEGATION_DELAY_MS - 20,
         Some("a".to_owned()),
     );
     assert_eq!(delegated(&out), [expected]);
@@ -142,7 +145,7 @@
     assert_eq!(delegated(&out)[0].2, None);
     entry.owner_lost(200, "d", &mut Vec::new());
     let mut out = Vec::new();
-    entry.tick(200 + DELEGATED_GAP_MS, &mut out);
+    entry.tick(200 + REDELEGATION_DELAY_MS, &mut out);
     assert_eq!(delegated(&out)[0].0, owned("bergen/0", "b"));
 }
 
@@ -153,9 +156,9 @@
         seen(&mut entry, 0, "forde/0", "a", 0);
         submit(&mut entry, 1, 1, "x");
         let mut out = Vec::new();
-        entry.ended(2, &owned("forde/0", "a"), &ending("x", outcome), &mut out);
+        entry.on_job_ended(2, &owned("forde/0", "a"), &ending("x", outcome), &mut out);
         entry.owner_lost(3, "a", &mut out);
-        entry.tick(3 + UNPLACED_MAX_MS, &mut out);
+        entry.tick(3 + PLACEMENT_TIMEOUT_MS, &mut out);
         let (_, answer) = answers(&out)[0];
         assert_eq!(matches!(answer, Answer::MayHaveRun { .. }), may_have_run);
         assert_eq!(matches!(answer, Answer::NotRun { .. }), !may_have_run);
@@ -172,9 +175,9 @@
         "the same job once"
     );
     let mut out = Vec::new();
-    entry.caller_left(1, &mut out);
+    entry.on_caller_disconnected(1, &mut out);
     assert!(out.is_empty(), "somebody still waits");
-    entry.caller_left(2, &mut out);
+    entry.on_caller_disconnected(2, &mut out);
     assert!(matches!(out[0], Command::Cancel { .. }));
     assert!(entry.is_empty());
 }
@@ -196,20 +199,20 @@
     submit(&mut entry, 1, 1, "x");
     let mut out = Vec::new();
     let other = owned("forde/0", "b");
-    entry.ended(2, &other, &ending("x", Outcome::Completed), &mut out);
+    entry.on_job_ended(2, &other, &ending("x", Outcome::Completed), &mut out);
     assert!(out.is_empty());
     let owner = owned("forde/0", "a");
-    entry.ended(3, &owner, &ending("x", Outcome::Completed), &mut out);
+    entry.on_job_ended(3, &owner, &ending("x", Outcome::Completed), &mut out);
     assert_eq!(answers(&out), [(1, Answer::Completed)]);
 }
 
 fn refused(entry: &mut Entry, now_ms: u64, pool: &str, owner: &str, id: &str) -> Vec<Command> {
     let mut out = Vec::new();
-    let ending = Ending {
+    let ending = JobResult {
         retry_after_ms: 2500,
         ..ending(id, Outcome::NotRun)
     };
-    entry.ended(now_ms, &owned(pool, owner), &ending, &mut out);
+    entry.on_job_ended(now_ms, &owned(pool, owner), &ending, &mut out);
     out
 }
 
@@ -232,7 +235,7 @@
 #[test]
 fn a_refused_job_waits_a_little_for_a_pool_that_has_no_owner() {
     let mut entry = Entry::new("forde");
-    entry.set_home_pools(vec!["forde/0".to_owned(), "forde/1".to_owned()]);
+    entry.set_local_pools(vec!["forde/0".to_owned(), "forde/1".to_owned()]);
     seen(&mut entry, 0, "forde/0", "a", 0);
     for id in ["x", "y"] {
         submit(&mut entry, 1, u64::from(id == "y"), id);
@@ -246,13 +249,13 @@
     let out = seen(&mut entry, 100, "forde/1", "b", 0);
     assert_eq!(delegated(&out)[0].0, owned("forde/1", "b"));
     let from = owned("forde/1", "b");
-    entry.pool_lost(101, &from, Cause::OwnerChanged, &mut Vec::new());
+    entry.pool_lost(101, &from, RevocationCause::OwnerChanged, &mut Vec::new());
     let out = refused(&mut entry, 102, "forde/0", "a", "y");
     assert!(out.iter().all(silent));
     let mut out = Vec::new();
-    entry.tick(1 + OWNER_FOLLOWS_MS - 1, &mut out);
+    entry.tick(1 + VACANT_POOL_WAIT_MS - 1, &mut out);
     assert!(answers(&out).is_empty());
-    entry.tick(1 + OWNER_FOLLOWS_MS, &mut out);
+    entry.tick(1 + VACANT_POOL_WAIT_MS, &mut out);
     let (ticket, answer) = answers(&out)[0];
     assert!(matches!((ticket, answer), (1, Answer::NotRun { .. })));
 }
@@ -265,8 +268,8 @@
     let mut entry = Entry::new("forde");
     let mut sent_to_silent = 0;
     seen_wide(&mut entry, 0, "bergen/0", "b");
-    for now_ms in (0..LINK_SILENT_MS).step_by(10) {
-        if now_ms.is_multiple_of(BEAT_MS) {
+    for now_ms in (0..LINK_TIMEOUT_MS).step_by(10) {
+        if now_ms.is_multiple_of(HEARTBEAT_MS) {
             seen_wide(&mut entry, now_ms, "stavanger/0", "s");
         }
         let id = format!("{now_ms:x}");
@@ -282,7 +285,7 @@
 fn a_silent_owner_is_used_where_there_is_no_other() {
     let mut entry = Entry::new("forde");
     seen(&mut entry, 0, "forde/0", "a", 0);
-    let out = submit(&mut entry, LINK_SILENT_MS, 1, "j");
+    let out = submit(&mut entry, LINK_TIMEOUT_MS, 1, "j");
     assert!(matches!(&out[..], [Command::Delegate { to, .. }] if to.owner == "a"));
 }
 
@@ -290,8 +293,8 @@
 fn an_entry_that_stood_still_takes_no_owner_for_silent() {
     let mut entry = Entry::new("forde");
     seen(&mut entry, 0, "forde/0", "a", 0);
-    entry.extend_silence_limits(LINK_SILENT_MS);
-    seen(&mut entry, LINK_SILENT_MS, "bergen/0", "b", 0);
-    let out = submit(&mut entry, LINK_SILENT_MS, 1, "j");
+    entry.extend_liveness_timeouts(LINK_TIMEOUT_MS);
+    seen(&mut entry, LINK_TIMEOUT_MS, "bergen/0", "b", 0);
+    let out = submit(&mut entry, LINK_TIMEOUT_MS, 1, "j");
     assert!(matches!(&out[..], [Command::Delegate { to, .. }] if to.owner == "a"));
 }
--- a/crates/core/tests/dispatch_history/events.rs
+++ b/crates/core/tests/dispatch_history/events.rs
@@ -3,9 +3,9 @@
 use std::sync::Arc;
 
 use trefoil_core::dispatch::order::{
-    HoldOrder, HoldOutcome, OrderOutcome, StartOrder, StopOrder, Target,
+    OrderOutcome, RenewOrder, RenewOutcome, StartOrder, StopOrder, Target,
 };
-use trefoil_core::dispatch::owner::Answered;
+use trefoil_core::dispatch::owner::OrderResult;
 use trefoil_core::dispatch::ownership::Roster;
 use trefoil_schema::dispatch::Holder;
 
@@ -15,7 +15,7 @@
 pub enum Order {
     Start(StartOrder),
     Stop(StopOrder),
-    Hold(HoldOrder),
+    Hold(RenewOrder),
 }
 
 #[derive(Clone, Debug)]
@@ -39,8 +39,8 @@
     },
     Hold {
         owner: usize,
-        order: HoldOrder,
-        outcome: HoldOutcome,
+        order: RenewOrder,
+        outcome: RenewOutcome,
     },
     Tick {
         owner: usize,
@@ -119,8 +119,8 @@
     target.worker_id.to_string()
 }
 
-pub fn answered(target: Target, task: Arc<str>, run_id: u64, outcome: OrderOutcome) -> Answered {
-    Answered {
+pub fn answered(target: Target, task: Arc<str>, run_id: u64, outcome: OrderOutcome) -> OrderResult {
+    OrderResult {
         worker: target.worker,
         fence: target.fence,
         task,
@@ -145,7 +145,7 @@
         Order::Hold(order) => Event::Hold {
             owner,
             order,
-            outcome: HoldOutcome::NoAnswer,
+            outcome: RenewOutcome::NoAnswer,
         },
     }
 }
--- a/crates/instance/src/instance.rs
+++ b/crates/instance/src/instance.rs
@@ -33,10 +33,12 @@
 use slog::{Logger, info, warn};
 use tokio::sync::{Notify, oneshot};
 use tokio::time::MissedTickBehavior;
-use trefoil_core::dispatch::entry::{self, Answer, Entry, Owned, Ticket};
+use trefoil_core::dispatch::entry::{self, Answer, Entry, PoolOwner, RequestId};
 use trefoil_core::dispatch::fence::Fence;
 use trefoil_core::dispatch::job::Origin;
-use trefoil_core::dispatch::limits::{BEAT_MS, POOLS_SETTLE_MS, POOLS_STAGGER_MS};
+use trefoil_core::dispatch::limits::{
+    HEARTBEAT_MS, POOL_CREATION_DELAY_MS, POOL_CREATION_STAGGER_MS,
+};
 use trefoil_core::dispatch::owner::{self, Owner};
 use trefoil_core::dispatch::ownership::{self, Ownership};
 use trefoil_core::dispatch::worker::WorkerRecord;
@@ -55,10 +57,10 @@
 const TICK_MS: u64 = 25;
 /// A tick that is this late counts as a stall of the process: peers have closed its
 /// links, and its leases may have expired. Peers run its jobs again only after
-/// [`LINK_SILENT_MS`] plus [`DELEGATED_GAP_MS`].
+/// [`LINK_TIMEOUT_MS`] plus [`REDELEGATION_DELAY_MS`].
 ///
-/// [`LINK_SILENT_MS`]: trefoil_core::dispatch::limits::LINK_SILENT_MS
-/// [`DELEGATED_GAP_MS`]: trefoil_core::dispatch::limits::DELEGATED_GAP_MS
+/// [`LINK_TIMEOUT_MS`]: trefoil_core::dispatch::limits::LINK_TIMEOUT_MS
+/// [`REDELEGATION_DELAY_MS`]: trefoil_core::dispatch::limits::REDELEGATION_DELAY_MS
 const STALL_THRESHOLD_MS: u64 = 900;
 
 /// How long the store is read often to find the successor of a lost owner. A claim
@@ -93,8 +95,8 @@
     /// Workers of the own failure domain's pools, as last reported by their owners.
     pool_workers: HashMap<String, Vec<WorkerRecord>>,
     pool_count: u32,
-    waiters: HashMap<Ticket, oneshot::Sender<Answer>>,
-    next_ticket: Ticket,
+    waiters: HashMap<RequestId, oneshot::Sender<Answer>>,
+    next_ticket: RequestId,
     ticks: u64,
     last_tick_ms: u64,
     /// Time of the last event or tick, by which stalls are detected.
@@ -183,10 +185,15 @@
             // A tick that is late means that heartbeats were read late too.
             let late_ms = now_ms.saturating_sub(state.last_tick_ms + TICK_MS);
             state.peers.extend_liveness_timeouts(late_ms);
-            state.entry.extend_silence_limits(late_ms);
+            state.entry.extend_liveness_timeouts(late_ms);
             state.last_tick_ms = now_ms;
         });
-        if self.state.borrow().ticks.is_multiple_of(BEAT_MS / TICK_MS) {
+        if self
+            .state
+            .borrow()
+            .ticks
+            .is_multiple_of(HEARTBEAT_MS / TICK_MS)
+        {
             self.send_heartbeats();
             self.update_gauges();
         }
@@ -201,7 +208,7 @@
             return;
         }
         warn!(self.log, "process stalled"; "late_ms" => late_ms);
-        state.ownership.stalled(now_ms, &mut effects.ownership);
+        state.ownership.release_all(now_ms, &mut effects.ownership);
         self.close_all_links(state, now_ms, effects);
         // The last read of the store is outdated as well.
         state.store_read_ms = None;
@@ -249,7 +256,7 @@
     /// Whether the instance can serve callers' requests.
     pub fn is_ready(&self) -> bool {
         let state = self.state.borrow();
-        !state.leaving && state.declared.table().is_some() && state.entry.is_served()
+        !state.leaving && state.declared.table().is_some() && state.entry.is_ready()
     }
 
     /// Whether the instance is shutting down.
@@ -266,8 +273,8 @@
     /// create them.
     pub(crate) fn should_create_pools(&self) -> bool {
         let state = self.state.borrow();
-        let pairs_before = state.ownership.listed_before() as u64 / 2;
-        let turn_ms = POOLS_SETTLE_MS + pairs_before * POOLS_STAGGER_MS;
+        let pairs_before = state.ownership.rank_in_domain() as u64 / 2;
+        let turn_ms = POOL_CREATION_DELAY_MS + pairs_before * POOL_CREATION_STAGGER_MS;
         state.pool_count == 0 && self.now_ms() >= turn_ms
     }
 
@@ -285,15 +292,17 @@
             let count = deployment.pool_counts.get(&self.node.failure_domain);
             state.pool_count = count.copied().unwrap_or(state.pool_count);
             state.ownership.set_members(now_ms, deployment.nodes);
-            state.entry.set_home_pools(state.ownership.home_pools());
+            state.entry.set_local_pools(state.ownership.local_pools());
             let failure_domains = deployment.pool_counts.into_keys();
             state.entry.set_failure_domains(failure_domains);
             for (pool, revision) in deployment.unreadable_claims {
-                state.ownership.unreadable_claim(&pool, revision);
+                state.ownership.learn_unreadable_record(&pool, revision);
             }
             for (record, revision) in deployment.claims {
                 let out = &mut effects.ownership;
-                state.ownership.stored_claim(now_ms, record, revision, out);
+                state
+                    .ownership
+                    .learn_stored_claim(now_ms, record, revision, out);
             }
         });
     }
@@ -310,7 +319,7 @@
     /// Returns `false` after [`SUCCESSOR_WAIT_MAX_MS`], since there may be none.
     pub(crate) fn is_awaiting_successor(&self) -> bool {
         let mut state = self.state.borrow_mut();
-        if state.ownership.is_settled() {
+        if state.ownership.is_linked_to_owners() {
             state.awaiting_successor_since_ms = None;
             return false;
         }
@@ -329,7 +338,7 @@
 
     fn update_gauges(&self) {
         let state = self.state.borrow();
-        let sizes = state.owners.values().map(Owner::sizes);
+        let sizes = state.owners.values().map(Owner::stats);
         self.metrics.set_sizes(state.entry.len(), sizes.sum());
         self.metrics.set_closed(state.is_closed());
         self.metrics
@@ -389,14 +398,16 @@
 /// Removes a caller's request when its future is dropped.
 struct TicketGuard<P: Store + WorkerClient + 'static> {
     instance: Rc<Instance<P>>,
-    ticket: Ticket,
+    ticket: RequestId,
 }
 
 impl<P: Store + WorkerClient + 'static> Drop for TicketGuard<P> {
     fn drop(&mut self) {
         self.instance.update(|state, _, effects| {
             state.waiters.remove(&self.ticket);
-            state.entry.caller_left(self.ticket, &mut effects.entry);
+            state
+                .entry
+                .on_caller_disconnected(self.ticket, &mut effects.entry);
         });
     }
 }
--- a/crates/instance/src/instance/calls.rs
+++ b/crates/instance/src/instance/calls.rs
@@ -3,8 +3,8 @@
 use std::sync::Arc;
 use std::time::Instant;
 
-use trefoil_core::dispatch::order::{HoldOrder, OrderOutcome, StartOrder, StopOrder, Target};
-use trefoil_core::dispatch::owner::Answered;
+use trefoil_core::dispatch::order::{OrderOutcome, RenewOrder, StartOrder, StopOrder, Target};
+use trefoil_core::dispatch::owner::OrderResult;
 use trefoil_core::dispatch::ownership::ClaimRecord;
 
 use super::*;
@@ -21,7 +21,7 @@
             instance.metrics.start_answer_ms.observe(elapsed_ms(sent));
             let answer = order_result(order.target, order.task, order.run_id, outcome);
             instance.with_owner(&pool, |owner, now_ms, out| {
-                owner.start_answered(now_ms, &answer, out)
+                owner.on_start_result(now_ms, &answer, out)
             });
         });
     }
@@ -35,12 +35,12 @@
             let outcome = instance.platform.stop(&order).await;
             let answer = order_result(order.target, order.task, order.run_id, outcome);
             instance.with_owner(&pool, |owner, now_ms, out| {
-                owner.stop_answered(now_ms, &answer, out)
+                owner.on_stop_result(now_ms, &answer, out)
             });
         });
     }
 
-    pub(super) fn send_hold(self: &Rc<Self>, pool: String, order: HoldOrder) {
+    pub(super) fn send_hold(self: &Rc<Self>, pool: String, order: RenewOrder) {
         self.metrics.lease_renewals.inc();
         let instance = Rc::clone(self);
         tokio::task::spawn_local(async move {
@@ -48,7 +48,7 @@
             let (worker, fence) = (order.target.worker, order.target.fence);
             let number = order.number;
             instance.with_owner(&pool, |owner, now_ms, out| {
-                owner.hold_answered(now_ms, worker, fence, number, outcome, out);
+                owner.on_renew_result(now_ms, worker, fence, number, outcome, out);
             });
         });
     }
@@ -80,8 +80,8 @@
     }
 }
 
-fn order_result(target: Target, task: Arc<str>, run_id: u64, outcome: OrderOutcome) -> Answered {
-    Answered {
+fn order_result(target: Target, task: Arc<str>, run_id: u64, outcome: OrderOutcome) -> OrderResult {
+    OrderResult {
         worker: target.worker,
         fence: target.fence,
         task,
--- a/crates/instance/src/instance/effects.rs
+++ b/crates/instance/src/instance/effects.rs
@@ -5,8 +5,8 @@
 
 use std::collections::VecDeque;
 
-use trefoil_core::dispatch::entry::Cause;
-use trefoil_core::dispatch::owner::{About, Note};
+use trefoil_core::dispatch::entry::RevocationCause;
+use trefoil_core::dispatch::owner::{LogEvent, LogTopic};
 use trefoil_core::dispatch::ownership::{Predecessor, Roster, holder_of};
 
 use super::*;
@@ -43,7 +43,10 @@
         let mut effects = Effects::default();
         let now_ms = self.now_ms();
         match command {
-            entry::Command::Answer { ticket, answer } => {
+            entry::Command::Answer {
+                request_id: ticket,
+                answer,
+            } => {
                 let waiter = self.state.borrow_mut().waiters.remove(&ticket);
                 if let Some(waiter) = waiter {
                     // The caller may just have disconnected.
@@ -73,7 +76,9 @@
                 let mut state = self.state.borrow_mut();
                 if !state.delegate(Origin::Local, delegate, now_ms, &mut effects) {
                     let out = &mut effects.entry;
-                    state.entry.pool_lost(now_ms, &to, Cause::OwnerChanged, out);
+                    state
+                        .entry
+                        .pool_lost(now_ms, &to, RevocationCause::OwnerChanged, out);
                 }
             }
             entry::Command::Revoked {
@@ -103,43 +108,43 @@
         match command {
             owner::Command::Start(order) => self.send_start(pool, order),
             owner::Command::Stop(order) => self.send_stop(pool, order),
-            owner::Command::Hold(order) => self.send_hold(pool, order),
-            owner::Command::Ended {
+            owner::Command::Renew(order) => self.send_hold(pool, order),
+            owner::Command::JobEnded {
                 origin,
-                ending,
+                result,
                 reason,
             } => {
-                info!(self.log, #WORK_TAG, "job ended"; "job" => &ending.job_id, "pool" => &pool,
-                    "outcome" => ?ending.outcome, "reason" => reason,
-                    "retry_after_ms" => ending.retry_after_ms);
+                info!(self.log, #WORK_TAG, "job ended"; "job" => &result.job_id, "pool" => &pool,
+                    "outcome" => ?result.outcome, "reason" => reason,
+                    "retry_after_ms" => result.retry_after_ms);
                 match origin {
                     Origin::Local => {
                         let owner = self.node.name.clone();
-                        let from = Owned { pool, owner };
+                        let from = PoolOwner { pool, owner };
                         let out = &mut effects.entry;
                         let mut state = self.state.borrow_mut();
-                        state.entry.ended(self.now_ms(), &from, &ending, out);
+                        state.entry.on_job_ended(self.now_ms(), &from, &result, out);
                     }
-                    Origin::Link(link) => self.send_ended(link, pool, ending, reason),
+                    Origin::Link(link) => self.send_ended(link, pool, result, reason),
                 }
             }
-            owner::Command::Outranked => {
+            owner::Command::Superseded => {
                 let mut state = self.state.borrow_mut();
                 let out = &mut effects.ownership;
-                state.ownership.outranked(self.now_ms(), &pool, out);
+                state.ownership.on_superseded(self.now_ms(), &pool, out);
                 self.store_read_requested.notify_waiters();
             }
-            owner::Command::Note(note) => self.log_event(&pool, note),
+            owner::Command::Log(note) => self.log_event(&pool, note),
         }
         effects
     }
 
-    fn log_event(&self, pool: &str, note: Note) {
-        match note.about {
-            About::Work => info!(self.log, #WORK_TAG, "{}", note.event;
+    fn log_event(&self, pool: &str, note: LogEvent) {
+        match note.topic {
+            LogTopic::Work => info!(self.log, #WORK_TAG, "{}", note.event;
                 "task" => note.subject, "worker" => note.worker,
                 "last_heard_ms" => note.last_heard_ms, "detail" => note.detail),
-            About::Pool => info!(self.log, "{}", note.event;
+            LogTopic::Pool => info!(self.log, "{}", note.event;
                 "pool" => pool, "detail" => note.detail),
         }
     }
@@ -158,17 +163,17 @@
             }
             ownership::Command::RosterSent { pool, roster } => {
                 let mut state = self.state.borrow_mut();
-                state.with_owner(&pool, &mut effects, |owner, _| owner.roster_sent(roster));
+                state.with_owner(&pool, &mut effects, |owner, _| owner.on_roster_sent(roster));
             }
             ownership::Command::RosterStored { pool, roster } => {
                 let now_ms = self.now_ms();
                 let mut state = self.state.borrow_mut();
                 state.with_owner(&pool, &mut effects, |owner, out| {
-                    owner.roster_stored(now_ms, roster, out);
+                    owner.on_roster_stored(now_ms, roster, out);
                 });
             }
             ownership::Command::Released(pool) => self.on_released(pool, &mut effects),
-            ownership::Command::Learned(claim) => {
+            ownership::Command::OwnerChanged(claim) => {
                 let owner = claim.owner.as_ref().map_or("", |node| node.name.as_str());
                 info!(self.log, "owner changed"; "pool" => &claim.pool,
                     "term" => claim.term, "owner" => owner);
@@ -188,7 +193,7 @@
             "workers_of_predecessor" => roster);
         let fence = Fence::new(claim.term, &self.node.name);
         let owner = Owner::new(&claim.pool, fence, unix_ms());
-        let mut owner = owner.following(holder_of(claim), predecessor);
+        let mut owner = owner.with_predecessor(holder_of(claim), predecessor);
         owner.await_declarations();
         let mut state = self.state.borrow_mut();
         state.owners.insert(claim.pool.clone(), owner);
@@ -215,11 +220,11 @@
             state.worker_records.clear();
         }
         let owner = self.node.name.clone();
-        let owned = Owned { pool, owner };
+        let owned = PoolOwner { pool, owner };
         let out = &mut effects.entry;
         state
             .entry
-            .pool_lost(now_ms, &owned, Cause::OwnerChanged, out);
+            .pool_lost(now_ms, &owned, RevocationCause::OwnerChanged, out);
         drop(state);
         self.store_read_requested.notify_waiters();
         self.send_heartbeats();
--- a/crates/instance/src/instance/frames.rs
+++ b/crates/instance/src/instance/frames.rs
@@ -5,8 +5,8 @@
     Beat, Cancel, ConfigPush, ConfigRequest, Delegate, Ended, Frame, OwnedPool,
 };
 
-use trefoil_core::dispatch::entry::Cause;
-use trefoil_core::dispatch::owner::Ending;
+use trefoil_core::dispatch::entry::RevocationCause;
+use trefoil_core::dispatch::owner::JobResult;
 
 use super::peers::encode;
 use super::*;
@@ -42,15 +42,15 @@
                     });
                 }
                 Body::Ended(ended) => {
-                    let ending = Ending {
+                    let result = JobResult {
                         job_id: ended.job_id,
                         outcome: decode_outcome(ended.outcome),
                         retry_after_ms: ended.retry_after_ms,
                     };
                     let pool = ended.pool;
-                    let from = Owned { pool, owner: name };
+                    let from = PoolOwner { pool, owner: name };
                     let out = &mut effects.entry;
-                    state.entry.ended(now_ms, &from, &ending, out);
+                    state.entry.on_job_ended(now_ms, &from, &result, out);
                 }
                 Body::ConfigRequest(request) => {
                     self.send_declarations(state, id, request.revision);
@@ -74,14 +74,14 @@
         let pool = delegate.pool.clone();
         let origin = Origin::Link(id);
         if !state.delegate(origin, delegate, now_ms, effects) {
-            let ending = Ending {
+            let result = JobResult {
                 job_id: job_id.unwrap_or_default(),
                 outcome: Outcome::Returned,
                 retry_after_ms: 0,
             };
-            let ended = owner::Command::Ended {
+            let ended = owner::Command::JobEnded {
                 origin,
-                ending,
+                result,
                 reason: "this instance does not own the pool",
             };
             effects.owner.push((pool, ended));
@@ -108,11 +108,11 @@
         // `echo_ms` is the time of the last heartbeat that the peer got over this link.
         if heartbeat.echo_ms > 0 {
             for owner in state.owners.values_mut() {
-                owner.origin_alive(Origin::Link(id), heartbeat.echo_ms);
+                owner.on_origin_heartbeat(Origin::Link(id), heartbeat.echo_ms);
             }
         }
-        state.ownership.heard(&name, heartbeat.leaving);
-        let mut lost_pools = state.entry.pools_of(&name);
+        state.ownership.set_peer_leaving(&name, heartbeat.leaving);
+        let mut lost_pools = state.entry.pools_owned_by(&name);
         for owned in heartbeat.owned {
             lost_pools.retain(|pool| {
                 owned
@@ -126,7 +126,7 @@
             let out = &mut effects.entry;
             state
                 .entry
-                .pool_lost(now_ms, &lost, Cause::OwnerChanged, out);
+                .pool_lost(now_ms, &lost, RevocationCause::OwnerChanged, out);
         }
         if state.declared.is_behind(heartbeat.declarations_revision) {
             self.fetch_declarations(state, id, now_ms);
@@ -148,10 +148,12 @@
         // Jobs are delegated only over links that are not draining.
         if owner == self.node.name || state.peers.link_to(owner).is_some() {
             let out = &mut effects.entry;
-            state.entry.pool_seen(now_ms, &claim, load, out);
+            state.entry.update_pool(now_ms, &claim, load, out);
         }
         let out = &mut effects.ownership;
-        state.ownership.learn(now_ms, claim, owned.yielded, out);
+        state
+            .ownership
+            .learn_claim(now_ms, claim, owned.yielded, out);
     }
 
     /// Fetches newer declarations that a peer has: from the store first, and from the
@@ -202,7 +204,7 @@
         }
     }
 
-    pub(super) fn send_delegate(&self, to: &Owned, delegate: Delegate, effects: &mut Effects) {
+    pub(super) fn send_delegate(&self, to: &PoolOwner, delegate: Delegate, effects: &mut Effects) {
         let mut state = self.state.borrow_mut();
         let frame = encode(Body::Delegate(delegate));
         let link = state.peers.link_to(&to.owner);
@@ -211,11 +213,11 @@
             let out = &mut effects.entry;
             state
                 .entry
-                .pool_lost(self.now_ms(), to, Cause::LinkLost, out);
+                .pool_lost(self.now_ms(), to, RevocationCause::LinkLost, out);
         }
     }
 
-    pub(super) fn send_cancel(&self, to: &Owned, job_id: String) {
+    pub(super) fn send_cancel(&self, to: &PoolOwner, job_id: String) {
         let state = self.state.borrow();
         let pool = to.pool.clone();
         let cancel = encode(Body::Cancel(Cancel { job_id, pool }));
@@ -226,16 +228,16 @@
         }
     }
 
-    pub(super) fn send_ended(&self, link: u64, pool: String, ending: Ending, reason: &str) {
+    pub(super) fn send_ended(&self, link: u64, pool: String, result: JobResult, reason: &str) {
         let state = self.state.borrow();
         if let Some(link) = state.peers.links.get(&link) {
             // If the link is down, the peer takes its jobs back anyway.
             link.sender.send(encode(Body::Ended(Ended {
-                job_id: ending.job_id,
-                outcome: ending.outcome.into(),
+                job_id: result.job_id,
+                outcome: result.outcome.into(),
                 reason: reason.to_owned(),
                 pool,
-                retry_after_ms: ending.retry_after_ms,
+                retry_after_ms: result.retry_after_ms,
             })));
         }
     }
