--- a/crates/instance/src/instance.rs
+++ b/crates/instance/src/instance.rs
@@ -95,8 +95,8 @@
     /// Workers of the own failure domain's pools, as last reported by their owners.
     pool_workers: HashMap<String, Vec<WorkerRecord>>,
     pool_count: u32,
-    waiters: HashMap<RequestId, oneshot::Sender<Answer>>,
-    next_ticket: RequestId,
+    pending_requests: HashMap<RequestId, oneshot::Sender<Answer>>,
+    next_request_id: RequestId,
     ticks: u64,
     last_tick_ms: u64,
     /// Time of the last event or tick, by which stalls are detected.
@@ -138,8 +138,8 @@
             worker_records: Vec::new(),
             pool_workers: HashMap::new(),
             pool_count: 0,
-            waiters: HashMap::new(),
-            next_ticket: 0,
+            pending_requests: HashMap::new(),
+            next_request_id: 0,
             ticks: 0,
             last_tick_ms: 0,
             last_active_ms: 0,
@@ -232,19 +232,19 @@
     /// the job.
     pub async fn submit(self: &Rc<Self>, spec: JobSpec, timeout_ms: u64) -> Answer {
         let (sender, answer) = oneshot::channel();
-        let ticket = self.update(|state, now_ms, effects| {
-            let ticket = state.next_ticket;
-            state.next_ticket += 1;
-            state.waiters.insert(ticket, sender);
+        let request_id = self.update(|state, now_ms, effects| {
+            let request_id = state.next_request_id;
+            state.next_request_id += 1;
+            state.pending_requests.insert(request_id, sender);
             let deadline_ms = now_ms + timeout_ms;
             state
                 .entry
-                .submit(now_ms, ticket, spec, deadline_ms, &mut effects.entry);
-            ticket
+                .submit(now_ms, request_id, spec, deadline_ms, &mut effects.entry);
+            request_id
         });
-        let guard = TicketGuard {
+        let guard = RequestGuard {
             instance: Rc::clone(self),
-            ticket,
+            request_id,
         };
         let answer = answer.await.unwrap_or(Answer::MayHaveRun {
             reason: "the instance ends",
@@ -338,8 +338,8 @@
 
     fn update_gauges(&self) {
         let state = self.state.borrow();
-        let sizes = state.owners.values().map(Owner::stats);
-        self.metrics.set_sizes(state.entry.len(), sizes.sum());
+        let stats = state.owners.values().map(Owner::stats);
+        self.metrics.set_stats(state.entry.len(), stats.sum());
         self.metrics.set_closed(state.is_closed());
         self.metrics
             .set_unreadable_entries(self.platform.unreadable_entries());
@@ -396,18 +396,18 @@
 }
 
 /// Removes a caller's request when its future is dropped.
-struct TicketGuard<P: Store + WorkerClient + 'static> {
+struct RequestGuard<P: Store + WorkerClient + 'static> {
     instance: Rc<Instance<P>>,
-    ticket: RequestId,
+    request_id: RequestId,
 }
 
-impl<P: Store + WorkerClient + 'static> Drop for TicketGuard<P> {
+impl<P: Store + WorkerClient + 'static> Drop for RequestGuard<P> {
     fn drop(&mut self) {
         self.instance.update(|state, _, effects| {
-            state.waiters.remove(&self.ticket);
+            state.pending_requests.remove(&self.request_id);
             state
                 .entry
-                .on_caller_disconnected(self.ticket, &mut effects.entry);
+                .on_caller_disconnected(self.request_id, &mut effects.entry);
         });
     }
 }
--- a/crates/instance/src/instance/calls.rs
+++ b/crates/instance/src/instance/calls.rs
@@ -19,9 +19,9 @@
             let sent = Instant::now();
             let outcome = instance.platform.start(&order).await;
             instance.metrics.start_answer_ms.observe(elapsed_ms(sent));
-            let answer = order_result(order.target, order.task, order.run_id, outcome);
+            let result = order_result(order.target, order.task, order.run_id, outcome);
             instance.with_owner(&pool, |owner, now_ms, out| {
-                owner.on_start_result(now_ms, &answer, out)
+                owner.on_start_result(now_ms, &result, out)
             });
         });
     }
@@ -33,14 +33,14 @@
         let instance = Rc::clone(self);
         tokio::task::spawn_local(async move {
             let outcome = instance.platform.stop(&order).await;
-            let answer = order_result(order.target, order.task, order.run_id, outcome);
+            let result = order_result(order.target, order.task, order.run_id, outcome);
             instance.with_owner(&pool, |owner, now_ms, out| {
-                owner.on_stop_result(now_ms, &answer, out)
+                owner.on_stop_result(now_ms, &result, out)
             });
         });
     }
 
-    pub(super) fn send_hold(self: &Rc<Self>, pool: String, order: RenewOrder) {
+    pub(super) fn send_renew(self: &Rc<Self>, pool: String, order: RenewOrder) {
         self.metrics.lease_renewals.inc();
         let instance = Rc::clone(self);
         tokio::task::spawn_local(async move {
--- a/crates/instance/src/instance/effects.rs
+++ b/crates/instance/src/instance/effects.rs
@@ -43,14 +43,11 @@
         let mut effects = Effects::default();
         let now_ms = self.now_ms();
         match command {
-            entry::Command::Answer {
-                request_id: ticket,
-                answer,
-            } => {
-                let waiter = self.state.borrow_mut().waiters.remove(&ticket);
-                if let Some(waiter) = waiter {
+            entry::Command::Answer { request_id, answer } => {
+                let request = self.state.borrow_mut().pending_requests.remove(&request_id);
+                if let Some(request) = request {
                     // The caller may just have disconnected.
-                    let _ = waiter.send(answer);
+                    let _ = request.send(answer);
                 }
             }
             entry::Command::Delegate {
@@ -108,7 +105,7 @@
         match command {
             owner::Command::Start(order) => self.send_start(pool, order),
             owner::Command::Stop(order) => self.send_stop(pool, order),
-            owner::Command::Renew(order) => self.send_hold(pool, order),
+            owner::Command::Renew(order) => self.send_renew(pool, order),
             owner::Command::JobEnded {
                 origin,
                 result,
@@ -134,18 +131,18 @@
                 state.ownership.on_superseded(self.now_ms(), &pool, out);
                 self.store_read_requested.notify_waiters();
             }
-            owner::Command::Log(note) => self.log_event(&pool, note),
+            owner::Command::Log(event) => self.log_event(&pool, event),
         }
         effects
     }
 
-    fn log_event(&self, pool: &str, note: LogEvent) {
-        match note.topic {
-            LogTopic::Work => info!(self.log, #WORK_TAG, "{}", note.event;
-                "task" => note.subject, "worker" => note.worker,
-                "last_heard_ms" => note.last_heard_ms, "detail" => note.detail),
-            LogTopic::Pool => info!(self.log, "{}", note.event;
-                "pool" => pool, "detail" => note.detail),
+    fn log_event(&self, pool: &str, event: LogEvent) {
+        match event.topic {
+            LogTopic::Work => info!(self.log, #WORK_TAG, "{}", event.event;
+                "task" => event.subject, "worker" => event.worker,
+                "last_heard_ms" => event.last_heard_ms, "detail" => event.detail),
+            LogTopic::Pool => info!(self.log, "{}", event.event;
+                "pool" => pool, "detail" => event.detail),
         }
     }
 
--- a/crates/instance/src/instance/shutdown.rs
+++ b/crates/instance/src/instance/shutdown.rs
@@ -40,14 +40,14 @@
                 warn!(instance.log, "cannot deregister"; "error" => %error);
             }
         });
-        let ending = self.wait_until_drained(since_ms).await;
+        let outcome = self.wait_until_drained(since_ms).await;
         self.update(|state, now_ms, effects| {
-            state.entry.close(&mut effects.entry);
+            state.entry.shut_down(&mut effects.entry);
             state.for_each_owner(effects, |owner, out| owner.release(now_ms, out));
         });
         // Leaves time to write the last answers to their connections.
         tokio::time::sleep(Duration::from_millis(DRAIN_POLL_INTERVAL_MS)).await;
-        ending
+        outcome
     }
 
     async fn wait_until_drained(&self, since_ms: u64) -> ShutdownOutcome {
@@ -60,7 +60,7 @@
             let now_ms = self.now_ms();
             let idle = {
                 let state = self.state.borrow();
-                let owned = state.owners.values().map(|owner| owner.sizes().jobs);
+                let owned = state.owners.values().map(|owner| owner.stats().jobs);
                 state.entry.is_empty() && owned.sum::<usize>() == 0
             };
             if idle && now_ms >= since_ms + LOAD_BALANCER_LAG_MS {
--- a/crates/instance/src/metrics.rs
+++ b/crates/instance/src/metrics.rs
@@ -25,7 +25,7 @@
     pub(crate) start_answer_ms: Histogram,
     /// Stop orders sent to workers.
     pub(crate) stops: IntCounter,
-    /// Hold orders sent to workers.
+    /// Lease renewals sent to workers.
     pub(crate) lease_renewals: IntCounter,
     /// Requests that are malformed, match no route or come before the declarations.
     pub bad_requests: IntCounter,
@@ -97,7 +97,7 @@
     }
 
     /// Sets the gauges of jobs, workers and runs.
-    pub(crate) fn set_sizes(&self, jobs_awaited: usize, owned: OwnerStats) {
+    pub(crate) fn set_stats(&self, jobs_awaited: usize, owned: OwnerStats) {
         self.jobs_awaited.set(jobs_awaited as i64);
         self.jobs_owned.set(owned.jobs as i64);
         self.jobs_waiting.set(owned.waiting as i64);
