--- a/crates/instance/src/log.rs
+++ b/crates/instance/src/log.rs
@@ -4,10 +4,9 @@
 //! blocks. When the buffer is full, records are dropped and counted, and the next
 //! record that passes is preceded by the count.
 //!
-//! Records on jobs, runs and workers come by the thousand a second, those on the
-//! instance's own state (ownership, declarations, links) by the dozen. The former
-//! never fill the buffer, so that a change of owner is logged however many jobs it
-//! affects.
+//! Records on jobs, runs and workers are far more frequent than those on the
+//! instance's own state (ownership, declarations, links). They may not use the last
+//! part of the buffer, so that ownership changes are logged even under load.
 
 use std::io::{self, Write};
 use std::sync::{Arc, Condvar, Mutex, MutexGuard, PoisonError};
@@ -17,7 +16,7 @@
 use slog::{Drain, IgnoreResult, Logger, Never, OwnedKVList, Record, o};
 use slog_json::Json;
 
-/// Record tag of messages on jobs, runs and workers, which are dropped first.
+/// Tag of records on jobs, runs and workers, which are dropped first.
 pub const WORK_TAG: &str = "work";
 
 /// Capacity of the buffer: a second of a busy instance's records.
--- a/crates/instance/src/store_polling.rs
+++ b/crates/instance/src/store_polling.rs
@@ -125,7 +125,7 @@
 }
 
 impl WorkerCount {
-    /// Whether the number of workers is stable; when all workers start at once, they
+    /// Updates the count and returns whether it is stable. Workers that start at once
     /// register over several seconds.
     fn observe(&mut self, workers: usize, now_ms: u64) -> bool {
         if workers * 100 > self.workers * (100 + STABLE_GROWTH_PERCENT) {
