--- a/crates/core/tests/dispatch_crashes.rs
+++ b/crates/core/tests/dispatch_crashes.rs
@@ -149,7 +149,7 @@
             Order::Hold(hold) => {
                 let worker = living(&hold.target.worker_id);
                 let outcome =
-                    worker.map_or(RenewOutcome::NoAnswer, |worker| worker.hold(now_ms, &hold));
+                    worker.map_or(RenewOutcome::NoAnswer, |worker| worker.renew(now_ms, &hold));
                 answer_hold(&mut self.owner, now_ms, &hold, outcome)
             }
         }
--- a/crates/core/tests/dispatch_history/world.rs
+++ b/crates/core/tests/dispatch_history/world.rs
@@ -175,7 +175,7 @@
                 }
             }
             Order::Hold(order) => {
-                let outcome = worker.hold(now_ms, &order);
+                let outcome = worker.renew(now_ms, &order);
                 let event = Event::Hold {
                     owner,
                     order,
--- a/crates/core/tests/dispatch_origin.rs
+++ b/crates/core/tests/dispatch_origin.rs
@@ -125,7 +125,7 @@
     owner.cancel(111, LINK, "a", &mut Vec::new());
     let raised = holds(&out);
     assert_eq!(raised.len(), 1, "asked at once, under a raised fence");
-    worker.hold(112, &raised[0]);
+    worker.renew(112, &raised[0]);
     assert_eq!(worker.start(113, &started[0]), OrderOutcome::Fenced);
     assert!(worker.runs.is_empty());
 }
--- a/crates/core/tests/dispatch_support/mod.rs
+++ b/crates/core/tests/dispatch_support/mod.rs
@@ -221,7 +221,7 @@
     }
 
     /// Answers a hold at once.
-    pub fn hold(&mut self, now_ms: u64, order: &RenewOrder) -> RenewOutcome {
+    pub fn renew(&mut self, now_ms: u64, order: &RenewOrder) -> RenewOutcome {
         self.advance(now_ms);
         if !self.obeys(order.target.fence) {
             return RenewOutcome::Fenced;
