--- a/crates/core/tests/dispatch_crashes.rs
+++ b/crates/core/tests/dispatch_crashes.rs
@@ -1,12 +1,11 @@
-//! Tasks that crash the workers that start them, told apart from workers that are
-//! lost for another reason.
+//! Poison tasks, distinguished from workers that are lost for other reasons.
 
 mod dispatch_support;
 
 use std::collections::BTreeSet;
 
-use dispatch_support::orders::{LINK, answer_hold, answer_start, fenced_owner};
-use dispatch_support::{SimWorker, holds, job, record, starts, stops};
+use dispatch_support::orders::{LINK, answer_renewal, answer_start, fenced_owner};
+use dispatch_support::{SimWorker, job, renewals, starts, stops, worker_record};
 use trefoil_core::dispatch::order::{
     OrderOutcome, RenewOrder, RenewOutcome, StartOrder, StopOrder,
 };
@@ -15,25 +14,25 @@
 use trefoil_schema::dispatch::Outcome;
 
 const TICK_MS: u64 = 25;
-/// An answer of a worker that lives.
+/// Answer time of a worker.
 const ANSWER_MS: u64 = 2;
-/// How long a task takes.
+/// Duration of a task.
 const TASK_MS: u64 = 60;
 
 enum Order {
     Start(StartOrder),
     Stop(StopOrder),
-    Hold(RenewOrder),
+    Renew(RenewOrder),
 }
 
-/// An owner and its workers in virtual time.
+/// An owner and its simulated workers in virtual time.
 struct Pool {
     owner: Owner,
     workers: Vec<SimWorker>,
     dead: BTreeSet<String>,
-    /// What jobs crash the workers that start their tasks.
+    /// Jobs whose tasks crash the workers that start them.
     poison: BTreeSet<&'static str>,
-    /// Orders whose outcome the owner learns at an instant.
+    /// Orders in flight, and when their results arrive.
     orders: Vec<(u64, Order)>,
     started: Vec<(u64, StartOrder)>,
     ended: Vec<(String, Outcome)>,
@@ -77,16 +76,16 @@
     fn take(&mut self, commands: Vec<Command>) {
         for start in starts(&commands) {
             self.started.push((self.now_ms, start.clone()));
-            let answer_ms = start.answer_timeout_ms;
-            self.send(Order::Start(start), answer_ms);
+            let answer_timeout_ms = start.answer_timeout_ms;
+            self.send(Order::Start(start), answer_timeout_ms);
         }
         for stop in stops(&commands) {
-            let answer_ms = stop.answer_timeout_ms;
-            self.send(Order::Stop(stop), answer_ms);
+            let answer_timeout_ms = stop.answer_timeout_ms;
+            self.send(Order::Stop(stop), answer_timeout_ms);
         }
-        for hold in holds(&commands) {
-            let answer_ms = hold.wait_ms + hold.answer_timeout_ms;
-            self.send(Order::Hold(hold), answer_ms);
+        for renewal in renewals(&commands) {
+            let answer_timeout_ms = renewal.wait_ms + renewal.answer_timeout_ms;
+            self.send(Order::Renew(renewal), answer_timeout_ms);
         }
         for command in commands {
             if let Command::JobEnded { result, .. } = command {
@@ -95,12 +94,13 @@
         }
     }
 
-    /// An order is carried out at once, and its outcome known later.
-    fn send(&mut self, order: Order, limit_ms: u64) {
+    /// Sends an order, which is carried out when its result arrives. A poison task crashes
+    /// its worker at once.
+    fn send(&mut self, order: Order, answer_timeout_ms: u64) {
         let id = match &order {
             Order::Start(start) => start.target.worker_id.to_string(),
             Order::Stop(stop) => stop.target.worker_id.to_string(),
-            Order::Hold(hold) => hold.target.worker_id.to_string(),
+            Order::Renew(renewal) => renewal.target.worker_id.to_string(),
         };
         if let Order::Start(start) = &order
             && self.poison.iter().any(|job| start.task.starts_with(job))
@@ -108,8 +108,8 @@
             self.dead.insert(id.clone());
         }
         let wait_ms = match (&order, self.dead.contains(&id)) {
-            (_, true) => limit_ms,
-            (Order::Hold(hold), false) => ANSWER_MS + hold.wait_ms.min(TASK_MS),
+            (_, true) => answer_timeout_ms,
+            (Order::Renew(renewal), false) => ANSWER_MS + renewal.wait_ms.min(TASK_MS),
             (_, false) => ANSWER_MS,
         };
         self.orders.push((self.now_ms + wait_ms, order));
@@ -146,11 +146,12 @@
                 self.owner.on_stop_result(now_ms, &answer, &mut out);
                 out
             }
-            Order::Hold(hold) => {
-                let worker = living(&hold.target.worker_id);
-                let outcome =
-                    worker.map_or(RenewOutcome::NoAnswer, |worker| worker.renew(now_ms, &hold));
-                answer_hold(&mut self.owner, now_ms, &hold, outcome)
+            Order::Renew(renewal) => {
+                let worker = living(&renewal.target.worker_id);
+                let outcome = worker.map_or(RenewOutcome::NoAnswer, |worker| {
+                    worker.renew(now_ms, &renewal)
+                });
+                answer_renewal(&mut self.owner, now_ms, &renewal, outcome)
             }
         }
     }
@@ -186,7 +187,7 @@
 }
 
 #[test]
-fn a_task_that_crashes_its_workers_is_given_up_after_the_second() {
+fn a_poison_task_fails_its_job_after_the_second_worker() {
     let mut pool = Pool::new(&["w1", "w2", "w3", "w4"]);
     pool.poison.insert("bad");
     pool.delegate("bad", 1);
@@ -197,7 +198,7 @@
 }
 
 #[test]
-fn jobs_beside_a_poison_task_are_done() {
+fn jobs_beside_a_poison_task_complete() {
     let mut pool = Pool::new(&["w1", "w2", "w3", "w4"]);
     pool.poison.insert("bad");
     pool.delegate("good", 1);
@@ -221,9 +222,9 @@
 }
 
 #[test]
-fn suspects_do_not_share_a_worker() {
-    // A task that was beside the poison task is suspect too; with it on the next
-    // worker, it would be blamed for that one.
+fn suspect_tasks_do_not_share_a_worker() {
+    // A task that ran beside the poison task is suspect, too. If both ran on the next
+    // worker, the loss of that one would be attributed to both.
     let mut pool = Pool::new(&["w1", "w2"]);
     pool.poison.insert("bad");
     pool.delegate("good", 1);
@@ -240,7 +241,7 @@
 }
 
 #[test]
-fn a_suspect_task_and_others_keep_apart_while_there_is_room() {
+fn a_suspect_task_is_isolated_while_there_is_capacity() {
     let mut pool = Pool::new(&["w1", "w2", "w3"]);
     pool.poison.insert("bad");
     pool.delegate("bad", 1);
@@ -266,8 +267,8 @@
 }
 
 #[test]
-fn workers_that_are_lost_together_are_no_tasks_fault() {
-    // Load pattern: a rack goes, and while its tasks start elsewhere, another one.
+fn correlated_worker_losses_are_not_attributed_to_tasks() {
+    // Simulates the loss of one rack after another.
     let mut pool = Pool::new(&["w1", "w2", "w3", "w4", "w5", "w6", "w7", "w8"]);
     pool.delegate("many", 6);
     let first: Vec<String> = pool.workers_of("many");
@@ -284,9 +285,8 @@
 }
 
 #[test]
-fn workers_that_were_only_silent_are_no_tasks_fault() {
-    // Load pattern: orders and their answers are lost for a while, on one worker
-    // after the other.
+fn losses_of_workers_that_answer_again_are_forgotten() {
+    // Simulates workers that are unreachable for a while, one after another.
     let mut pool = Pool::new(&["w1", "w2", "w3", "w4"]);
     pool.delegate("a", 1);
     for start in 1..4 {
@@ -309,7 +309,7 @@
 fn a_worker_whose_capacity_shrank_starts_nothing_until_it_fits() {
     let mut pool = Pool::new(&["w1"]);
     pool.delegate("a", 2);
-    let mut shrunk = record("w1");
+    let mut shrunk = worker_record("w1");
     shrunk.capacity = Resources {
         cpu_millicores: 1000,
         ..shrunk.capacity
@@ -320,7 +320,7 @@
     pool.take(out);
     pool.delegate("b", 2);
     pool.run_until(400);
-    // Both runs are left to end; then one at a time has room.
+    // Both runs complete; after that, one task fits at a time.
     assert!(pool.ended.contains(&("a".to_owned(), Outcome::Completed)));
     let of_b: Vec<u64> = pool
         .started
@@ -334,9 +334,10 @@
         "{of_b:?}"
     );
     let mut out = Vec::new();
-    pool.owner.set_workers(400, vec![record("w1")], &mut out);
+    pool.owner
+        .set_workers(400, vec![worker_record("w1")], &mut out);
     pool.take(out);
     pool.delegate("c", 2);
     let of_c = pool.workers_of("c.");
-    assert_eq!(of_c.len(), 2, "room that grows is used at once");
+    assert_eq!(of_c.len(), 2, "added capacity is used at once");
 }
--- a/crates/core/tests/dispatch_support/mod.rs
+++ b/crates/core/tests/dispatch_support/mod.rs
@@ -1,4 +1,4 @@
-//! Workers, jobs and a clock for the tests of dispatch, in virtual time.
+//! Simulated workers, jobs and owners for the dispatch tests, in virtual time.
 
 #![allow(dead_code)]
 
@@ -18,13 +18,13 @@
 
 /// Pool of all tests.
 pub const POOL: &str = "forde/0";
-/// Longest lease that a worker grants, milliseconds of its clock.
+/// Longest lease that a worker grants, in milliseconds of its clock.
 const LEASE_MAX_MS: u64 = 1000;
-/// A worker's clock runs this much slow, in thousandths.
-const SLOW_THOUSANDTHS: u64 = 20;
+/// By how much a worker's clock is slow, in thousandths.
+const CLOCK_DRIFT_THOUSANDTHS: u64 = 20;
 
-/// A registry entry with room for two tasks of [`job`].
-pub fn record(id: &str) -> WorkerRecord {
+/// The registry record of a worker with capacity for two tasks of [`job`].
+pub fn worker_record(id: &str) -> WorkerRecord {
     WorkerRecord {
         id: Arc::from(id),
         address: Arc::from(format!("{id}:80")),
@@ -40,7 +40,7 @@
     }
 }
 
-/// A job of one phase with tasks of a core each.
+/// A job of one phase whose tasks request one core each.
 pub fn job(id: &str, count: u32, estimate_ms: u64) -> Job {
     Job {
         id: id.to_owned(),
@@ -48,7 +48,7 @@
         service: "register".to_owned(),
         attempts_max: 3,
         patience_ms: 0,
-        // The histories may take long: no job is hopeless in them.
+        // No job expires in the long histories.
         stretch: 1000.0,
         slo_ms: 60,
         phases: vec![Phase {
@@ -62,7 +62,7 @@
     }
 }
 
-/// The ownership of a term.
+/// The holder of the pool in a term.
 pub fn holder(term: u64) -> Holder {
     Holder {
         term,
@@ -71,13 +71,13 @@
     }
 }
 
-/// An owner in a term that knows nothing of the owner before it.
+/// An owner in a term, without a known predecessor.
 pub fn owner(term: u64) -> Owner {
     let fence = Fence::new(term, "entry-1");
     Owner::new(POOL, fence, term * 100_000).with_predecessor(Some(holder(term)), None)
 }
 
-/// An owner in a term; the one of the term before used these workers.
+/// An owner in a term whose predecessor, of the term before, used these workers.
 pub fn owner_after(term: u64, used: &[&str]) -> Owner {
     let fence = Fence::new(term, "entry-1");
     let predecessor = Predecessor {
@@ -91,59 +91,57 @@
 /// A run on a [`SimWorker`].
 #[derive(Clone, Debug)]
 pub struct SimRun {
-    /// Task.
     pub task: Arc<str>,
-    /// Number.
     pub run_id: u64,
     ends_ms: u64,
 }
 
-/// A worker that keeps the platform's contract.
+/// A simulated worker that honors the platform's contract.
 #[derive(Clone, Debug)]
 pub struct SimWorker {
-    /// Its registry entry.
     pub record: WorkerRecord,
-    /// What runs there.
     pub runs: Vec<SimRun>,
-    /// How long each task takes.
+    /// Duration of each task.
     pub task_ms: u64,
     fence: u64,
-    over: Vec<(Arc<str>, u64)>,
-    ended: Vec<RunCompletion>,
-    ends: u64,
+    /// Runs that have ended or must not start any more.
+    past_runs: Vec<(Arc<str>, u64)>,
+    /// Completions that are not acknowledged yet.
+    unacked: Vec<RunCompletion>,
+    completion_count: u64,
     lease_ms: u64,
-    clock_from_ms: u64,
+    clock_start_ms: u64,
 }
 
 impl SimWorker {
-    /// An empty worker whose clock stood at `clock_from_ms` at time zero.
-    pub fn new(id: &str, clock_from_ms: u64, task_ms: u64) -> Self {
+    /// A worker without runs whose clock reads `clock_start_ms` at time zero.
+    pub fn new(id: &str, clock_start_ms: u64, task_ms: u64) -> Self {
         Self {
-            record: record(id),
+            record: worker_record(id),
             runs: Vec::new(),
             task_ms,
             fence: 0,
-            over: Vec::new(),
-            ended: Vec::new(),
-            ends: 0,
+            past_runs: Vec::new(),
+            unacked: Vec::new(),
+            completion_count: 0,
             lease_ms: 0,
-            clock_from_ms,
+            clock_start_ms,
         }
     }
 
-    /// Its clock at a true time.
+    /// The worker's clock at virtual time `now_ms`.
     pub fn clock_ms(&self, now_ms: u64) -> u64 {
-        self.clock_from_ms + now_ms - now_ms * SLOW_THOUSANDTHS / 1000
+        self.clock_start_ms + now_ms - now_ms * CLOCK_DRIFT_THOUSANDTHS / 1000
     }
 
-    /// Ends what is done or whose lease has lapsed.
+    /// Ends the runs that have completed or whose lease has expired.
     pub fn advance(&mut self, now_ms: u64) {
-        let lapsed = self.clock_ms(now_ms) > self.lease_ms;
+        let is_expired = self.clock_ms(now_ms) > self.lease_ms;
         let runs = std::mem::take(&mut self.runs);
         for run in runs {
             if run.ends_ms <= now_ms {
                 self.end(&run, RunOutcome::Done);
-            } else if lapsed {
+            } else if is_expired {
                 self.end(&run, RunOutcome::LeaseExpired);
             } else {
                 self.runs.push(run);
@@ -151,18 +149,19 @@
         }
     }
 
-    fn end(&mut self, run: &SimRun, how: RunOutcome) {
-        self.ends += 1;
-        self.over.push((run.task.clone(), run.run_id));
-        self.ended.push(RunCompletion {
-            number: self.ends,
+    fn end(&mut self, run: &SimRun, outcome: RunOutcome) {
+        self.completion_count += 1;
+        self.past_runs.push((run.task.clone(), run.run_id));
+        self.unacked.push(RunCompletion {
+            number: self.completion_count,
             task: run.task.clone(),
             run_id: run.run_id,
-            outcome: how,
+            outcome,
         });
     }
 
-    fn obeys(&mut self, fence: Fence) -> bool {
+    /// Accepts a fence unless a newer one was accepted before.
+    fn accept_fence(&mut self, fence: Fence) -> bool {
         if fence.token() < self.fence {
             return false;
         }
@@ -170,15 +169,15 @@
         true
     }
 
-    fn extend(&mut self, now_ms: u64, deadline_ms: u64) {
-        let longest_ms = self.clock_ms(now_ms) + LEASE_MAX_MS;
-        self.lease_ms = self.lease_ms.max(deadline_ms.min(longest_ms));
+    fn extend_lease(&mut self, now_ms: u64, deadline_ms: u64) {
+        let max_ms = self.clock_ms(now_ms) + LEASE_MAX_MS;
+        self.lease_ms = self.lease_ms.max(deadline_ms.min(max_ms));
     }
 
     /// Carries out a start.
     pub fn start(&mut self, now_ms: u64, order: &StartOrder) -> OrderOutcome {
         self.advance(now_ms);
-        if !self.obeys(order.target.fence) {
+        if !self.accept_fence(order.target.fence) {
             return OrderOutcome::Fenced;
         }
         let clock_ms = self.clock_ms(now_ms);
@@ -186,12 +185,12 @@
             return OrderOutcome::Rejected(Rejection::Late);
         }
         let known = |(task, run): &(Arc<str>, u64)| *task == order.task && *run >= order.run_id;
-        if self.over.iter().any(known) {
+        if self.past_runs.iter().any(known) {
             return OrderOutcome::Rejected(Rejection::OldRun);
         }
-        self.extend(now_ms, order.deadline_ms);
-        let there = |run: &SimRun| run.task == order.task && run.run_id == order.run_id;
-        if !self.runs.iter().any(there) {
+        self.extend_lease(now_ms, order.deadline_ms);
+        let same_run = |run: &SimRun| run.task == order.task && run.run_id == order.run_id;
+        if !self.runs.iter().any(same_run) {
             self.runs.push(SimRun {
                 task: order.task.clone(),
                 run_id: order.run_id,
@@ -204,32 +203,33 @@
     /// Carries out a stop.
     pub fn stop(&mut self, now_ms: u64, order: &StopOrder) -> OrderOutcome {
         self.advance(now_ms);
-        if !self.obeys(order.target.fence) {
+        if !self.accept_fence(order.target.fence) {
             return OrderOutcome::Fenced;
         }
-        let there = |run: &SimRun| run.task == order.task && run.run_id == order.run_id;
-        match self.runs.iter().position(there) {
+        let same_run = |run: &SimRun| run.task == order.task && run.run_id == order.run_id;
+        match self.runs.iter().position(same_run) {
             Some(position) => {
                 let run = self.runs.swap_remove(position);
                 self.end(&run, RunOutcome::Stopped);
             }
-            None => self.over.push((order.task.clone(), order.run_id)),
+            None => self.past_runs.push((order.task.clone(), order.run_id)),
         }
         OrderOutcome::Done {
             clock_ms: self.clock_ms(now_ms),
         }
     }
 
-    /// Answers a hold at once.
+    /// Carries out a lease renewal, without waiting for a completion.
     pub fn renew(&mut self, now_ms: u64, order: &RenewOrder) -> RenewOutcome {
         self.advance(now_ms);
-        if !self.obeys(order.target.fence) {
+        if !self.accept_fence(order.target.fence) {
             return RenewOutcome::Fenced;
         }
         if let Some(deadline_ms) = order.deadline_ms {
-            self.extend(now_ms, deadline_ms);
+            self.extend_lease(now_ms, deadline_ms);
         }
-        self.ended.retain(|end| end.number > order.acked_completion);
+        self.unacked
+            .retain(|completion| completion.number > order.acked_completion);
         RenewOutcome::Renewed {
             clock_ms: self.clock_ms(now_ms),
             running: self
@@ -240,12 +240,12 @@
                     run_id: run.run_id,
                 })
                 .collect(),
-            completions: self.ended.clone(),
+            completions: self.unacked.clone(),
         }
     }
 }
 
-/// The starts among commands.
+/// The start orders among commands.
 pub fn starts(commands: &[Command]) -> Vec<StartOrder> {
     let starts = commands.iter().filter_map(|command| match command {
         Command::Start(order) => Some(order.clone()),
@@ -254,16 +254,16 @@
     starts.collect()
 }
 
-/// The holds among commands.
-pub fn holds(commands: &[Command]) -> Vec<RenewOrder> {
-    let holds = commands.iter().filter_map(|command| match command {
+/// The lease renewals among commands.
+pub fn renewals(commands: &[Command]) -> Vec<RenewOrder> {
+    let renewals = commands.iter().filter_map(|command| match command {
         Command::Renew(order) => Some(order.clone()),
         _ => None,
     });
-    holds.collect()
+    renewals.collect()
 }
 
-/// The stops among commands.
+/// The stop orders among commands.
 pub fn stops(commands: &[Command]) -> Vec<StopOrder> {
     let stops = commands.iter().filter_map(|command| match command {
         Command::Stop(order) => Some(order.clone()),
--- a/crates/core/tests/dispatch_support/orders.rs
+++ b/crates/core/tests/dispatch_support/orders.rs
@@ -1,4 +1,4 @@
-//! What an owner is told and what it orders, a line each.
+//! Shorthands for the events of an owner and for its orders.
 
 use trefoil_core::dispatch::job::Origin;
 use trefoil_core::dispatch::order::{
@@ -7,19 +7,19 @@
 use trefoil_core::dispatch::owner::{Command, OrderResult, Owner};
 use trefoil_schema::dispatch::Outcome;
 
-use super::{holds, job, owner, record};
+use super::{job, owner, renewals, worker_record};
 
 pub const LINK: Origin = Origin::Link(7);
 
-pub fn held(running: Vec<ListedRun>, ended: Vec<RunCompletion>) -> RenewOutcome {
+pub fn renewed(running: Vec<ListedRun>, completions: Vec<RunCompletion>) -> RenewOutcome {
     RenewOutcome::Renewed {
         clock_ms: 50_000,
         running,
-        completions: ended,
+        completions,
     }
 }
 
-pub fn answer_hold(
+pub fn answer_renewal(
     owner: &mut Owner,
     now_ms: u64,
     order: &RenewOrder,
@@ -49,13 +49,17 @@
     out
 }
 
-/// An owner in a term with fenced, empty workers.
+/// An owner in a term whose workers are fenced and have no runs.
 pub fn fenced_owner(term: u64, ids: &[&str]) -> Owner {
     let mut owner = owner(term);
     let mut out = Vec::new();
-    owner.set_workers(0, ids.iter().map(|id| record(id)).collect(), &mut out);
-    for hold in holds(&out) {
-        answer_hold(&mut owner, 1, &hold, held(vec![], vec![]));
+    owner.set_workers(
+        0,
+        ids.iter().map(|id| worker_record(id)).collect(),
+        &mut out,
+    );
+    for renewal in renewals(&out) {
+        answer_renewal(&mut owner, 1, &renewal, renewed(vec![], vec![]));
     }
     owner
 }
@@ -66,15 +70,15 @@
     out
 }
 
-pub fn ended(commands: &[Command]) -> Vec<(String, Outcome)> {
-    let ended = commands.iter().filter_map(|command| match command {
+pub fn job_outcomes(commands: &[Command]) -> Vec<(String, Outcome)> {
+    let outcomes = commands.iter().filter_map(|command| match command {
         Command::JobEnded { result, .. } => Some((result.job_id.clone(), result.outcome)),
         _ => None,
     });
-    ended.collect()
+    outcomes.collect()
 }
 
-pub fn done(number: u64, order: &StartOrder) -> RunCompletion {
+pub fn completion(number: u64, order: &StartOrder) -> RunCompletion {
     RunCompletion {
         number,
         task: order.task.clone(),
