--- a/crates/core/src/dispatch/owner/closure.rs
+++ b/crates/core/src/dispatch/owner/closure.rs
@@ -17,7 +17,7 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(super) enum Closure {
     #[default]
-    Candidate,
+    Open,
     /// No task may start: declarations are not known yet.
     Unknown,
     /// Only tasks of jobs that have begun may start, until `begun_until_ms`.
@@ -49,8 +49,8 @@
 
     /// Resumes starting tasks.
     pub fn reopen(&mut self, now_ms: u64, out: &mut Vec<Command>) {
-        match std::mem::replace(&mut self.closure, Closure::Candidate) {
-            Closure::Candidate => return,
+        match std::mem::replace(&mut self.closure, Closure::Open) {
+            Closure::Open => return,
             Closure::Unknown => {}
             Closure::Closed { .. } => self.log_closure("reopened", 0, out),
         }
@@ -64,13 +64,13 @@
 
     /// Whether new jobs may start; false also while declarations are unknown.
     pub(super) fn is_open(&self) -> bool {
-        self.closure == Closure::Candidate
+        self.closure == Closure::Open
     }
 
     /// Whether a job's tasks may start.
     pub(super) fn may_start(&self, now_ms: u64, has_begun: bool) -> bool {
         match self.closure {
-            Closure::Candidate => true,
+            Closure::Open => true,
             Closure::Unknown => false,
             Closure::Closed { begun_until_ms } => has_begun && now_ms < begun_until_ms,
         }
--- a/crates/core/src/dispatch/owner/overdue.rs
+++ b/crates/core/src/dispatch/owner/overdue.rs
@@ -11,13 +11,13 @@
 /// Interval at which a stop is repeated. The platform's contract grants a stop 50 ms,
 /// besides the time of an answer.
 const STOP_RETRY_MS: u64 = 150;
-/// Maximum age of a worker's listing by which a run is treated as stalled.
+/// Maximum age of the listing on whose basis a run is treated as stalled.
 const LISTING_AGE_MAX_MS: u64 = 60;
 
-/// While many orders stay unanswered, the interval between polls for a completion, as
-/// a share of the run's expected time.
+/// While many orders stay unanswered, a worker is polled once a run has taken its
+/// expected time, and again at intervals of this share of it.
 const REPOLL_SHARE: f64 = 0.15;
-/// Lower bound of that interval: the time of two calls.
+/// Lower bound of the interval: the time of two calls.
 const REPOLL_MIN_MS: u64 = 20;
 
 /// What to do about a run.
--- a/crates/core/src/dispatch/owner/stats.rs
+++ b/crates/core/src/dispatch/owner/stats.rs
@@ -22,14 +22,14 @@
 }
 
 impl std::iter::Sum for OwnerStats {
-    fn sum<I: Iterator<Item = Self>>(sizes: I) -> Self {
-        sizes.fold(Self::default(), |sum, sizes| Self {
-            jobs: sum.jobs + sizes.jobs,
-            waiting: sum.waiting + sizes.waiting,
-            workers: sum.workers + sizes.workers,
-            workers_fenced: sum.workers_fenced + sizes.workers_fenced,
-            runs: sum.runs + sizes.runs,
-            queue_sorts: sum.queue_sorts + sizes.queue_sorts,
+    fn sum<I: Iterator<Item = Self>>(stats: I) -> Self {
+        stats.fold(Self::default(), |sum, stats| Self {
+            jobs: sum.jobs + stats.jobs,
+            waiting: sum.waiting + stats.waiting,
+            workers: sum.workers + stats.workers,
+            workers_fenced: sum.workers_fenced + stats.workers_fenced,
+            runs: sum.runs + stats.runs,
+            queue_sorts: sum.queue_sorts + stats.queue_sorts,
         })
     }
 }
