--- a/crates/core/src/dispatch/owner/judge.rs
+++ b/crates/core/src/dispatch/owner/admit.rs
@@ -57,7 +57,7 @@
     /// nothing has begun and that have no prospects; where one has just come
     /// (`new`), only that one is decided on.
     fn judge(&mut self, now_ms: u64, new: Option<JobKey>, out: &mut Vec<Command>) {
-        if self.settings.admits_all || self.queue.is_empty() || self.workers.is_empty() {
+        if self.settings.admit_all || self.queue.is_empty() || self.workers.is_empty() {
             return;
         }
         let mut load = self.load_now(now_ms);
@@ -75,7 +75,7 @@
             if prospect.is_of_use(job) {
                 load.forecast.take(millicores, job.remaining_ms());
             } else if is_new || new.is_none() {
-                out.push(Command::Note(self.refusal(now_ms, &load, job, prospect)));
+                out.push(Command::Log(self.refusal(now_ms, &load, job, prospect)));
                 self.refuse(now_ms, key, "its turn would come too late", out);
             }
             if is_new {
@@ -98,9 +98,9 @@
     }
 
     /// A line on a refusal and what decided it.
-    fn refusal(&self, now_ms: u64, load: &LoadNow, job: &Job, prospect: Prospect) -> Note {
+    fn refusal(&self, now_ms: u64, load: &LoadNow, job: &Job, prospect: Prospect) -> LogEvent {
         let from_now = |at_ms: u64| at_ms as i64 - now_ms as i64;
-        let mut note = Note::job("refused", &job.spec.id);
+        let mut note = LogEvent::job("refused", &job.spec.id);
         note.detail = format!(
             "class {} takes_ms {} due_in_ms {} begins_in_ms {} late_begins_in_ms {:?} \
              usable_millicores {:.0} offered_millicores {:.0} over_share {}",
@@ -119,7 +119,7 @@
     /// When the caller of a job that is refused now should come back.
     pub(super) fn retry_after_ms(&mut self, now_ms: u64, key: JobKey) -> u64 {
         let room = self.room_in_use(now_ms);
-        let work = self.jobs[key].waiting_work();
+        let work = self.jobs[key].waiting_millicore_ms();
         self.admission.retry_after_ms(now_ms, room, work)
     }
 
@@ -135,12 +135,12 @@
     fn forecast(&self, now_ms: u64) -> Forecast {
         let mut forecast = Forecast::new(now_ms);
         let usable = self.workers.values();
-        for worker in usable.filter(|worker| worker.takes_tasks_soon(now_ms)) {
-            if worker.standing == Standing::Unfenced {
-                forecast.frees(now_ms + FENCING_MS, worker.free().cpu_millicores);
+        for worker in usable.filter(|worker| worker.accepts_tasks_soon(now_ms)) {
+            if worker.fencing == FencingState::Unfenced {
+                forecast.frees(now_ms + FENCING_MS, worker.free_resources().cpu_millicores);
             }
             for run in &worker.runs {
-                let millicores = run.room.map_or(0, |room| room.cpu_millicores);
+                let millicores = run.resources.map_or(0, |room| room.cpu_millicores);
                 forecast.runs(run.ordered_ms, run.expected_ms, millicores);
             }
         }
@@ -150,10 +150,10 @@
     /// Room of the workers that take tasks.
     fn room_in_use(&self, now_ms: u64) -> RoomInUse {
         let usable = self.workers.values();
-        let usable = usable.filter(|worker| worker.takes_tasks_soon(now_ms));
+        let usable = usable.filter(|worker| worker.accepts_tasks_soon(now_ms));
         usable.fold(RoomInUse::default(), |sum, worker| RoomInUse {
             capacity_millicores: sum.capacity_millicores + worker.record.capacity.cpu_millicores,
-            free_millicores: sum.free_millicores + worker.free().cpu_millicores,
+            free_millicores: sum.free_millicores + worker.free_resources().cpu_millicores,
         })
     }
 }
--- a/crates/core/src/dispatch/owner/closure.rs
+++ b/crates/core/src/dispatch/owner/closure.rs
@@ -87,7 +87,7 @@
             return;
         }
         let jobs = self.jobs.iter().filter(|(_, job)| {
-            let waits = job.tasks.iter().any(Task::waits);
+            let waits = job.tasks.iter().any(Task::is_waiting);
             waits && !job.stopping && !self.may_start(now_ms, job.started)
         });
         let keys: Vec<JobKey> = jobs.map(|(key, _)| key).collect();
@@ -105,6 +105,6 @@
             "begun jobs may start tasks for {begun_for_ms} ms, jobs {}",
             self.jobs.len()
         );
-        out.push(Command::Note(Note::pool(event, detail)));
+        out.push(Command::Log(LogEvent::pool(event, detail)));
     }
 }
--- a/crates/instance/src/instance/calls.rs
+++ b/crates/instance/src/instance/calls.rs
@@ -3,15 +3,15 @@
 use std::sync::Arc;
 use std::time::Instant;
 
-use trefoil_core::dispatch::order::{HoldOrder, OrderOutcome, StartOrder, StopOrder, Target};
-use trefoil_core::dispatch::owner::Answered;
+use trefoil_core::dispatch::order::{OrderOutcome, RenewOrder, StartOrder, StopOrder, Target};
+use trefoil_core::dispatch::owner::OrderResult;
 use trefoil_core::dispatch::ownership::ClaimRecord;
 
 use super::*;
 
-impl<E: Store + Workers + 'static> Instance<E> {
+impl<E: Store + WorkerClient + 'static> Instance<E> {
     pub(super) fn send_start(self: &Rc<Self>, pool: String, order: StartOrder) {
-        info!(self.log, #ON_WORK, "start"; "task" => &*order.task, "run" => order.run_id,
+        info!(self.log, #WORK_TAG, "start"; "task" => &*order.task, "run" => order.run_id,
             "worker" => &*order.target.worker_id, "fence" => order.target.fence.token());
         self.metrics.starts.inc();
         let instance = Rc::clone(self);
@@ -21,13 +21,13 @@
             instance.metrics.start_answer_ms.observe(elapsed_ms(sent));
             let answer = answered(order.target, order.task, order.run_id, outcome);
             instance.with_owner(&pool, |owner, now_ms, out| {
-                owner.start_answered(now_ms, &answer, out)
+                owner.on_start_result(now_ms, &answer, out)
             });
         });
     }
 
     pub(super) fn send_stop(self: &Rc<Self>, pool: String, order: StopOrder) {
-        info!(self.log, #ON_WORK, "stop"; "task" => &*order.task, "run" => order.run_id,
+        info!(self.log, #WORK_TAG, "stop"; "task" => &*order.task, "run" => order.run_id,
             "worker" => &*order.target.worker_id, "fence" => order.target.fence.token());
         self.metrics.stops.inc();
         let instance = Rc::clone(self);
@@ -35,20 +35,20 @@
             let outcome = instance.edge.stop(&order).await;
             let answer = answered(order.target, order.task, order.run_id, outcome);
             instance.with_owner(&pool, |owner, now_ms, out| {
-                owner.stop_answered(now_ms, &answer, out)
+                owner.on_stop_result(now_ms, &answer, out)
             });
         });
     }
 
-    pub(super) fn send_hold(self: &Rc<Self>, pool: String, order: HoldOrder) {
-        self.metrics.holds.inc();
+    pub(super) fn send_hold(self: &Rc<Self>, pool: String, order: RenewOrder) {
+        self.metrics.lease_renewals.inc();
         let instance = Rc::clone(self);
         tokio::task::spawn_local(async move {
-            let outcome = instance.edge.hold(&order).await;
+            let outcome = instance.edge.renew(&order).await;
             let (worker, fence) = (order.target.worker, order.target.fence);
             let number = order.number;
             instance.with_owner(&pool, |owner, now_ms, out| {
-                owner.hold_answered(now_ms, worker, fence, number, outcome, out);
+                owner.on_renew_result(now_ms, worker, fence, number, outcome, out);
             });
         });
     }
@@ -80,8 +80,8 @@
     }
 }
 
-fn answered(target: Target, task: Arc<str>, run_id: u64, outcome: OrderOutcome) -> Answered {
-    Answered {
+fn answered(target: Target, task: Arc<str>, run_id: u64, outcome: OrderOutcome) -> OrderResult {
+    OrderResult {
         worker: target.worker,
         fence: target.fence,
         task,
--- a/crates/instance/src/instance/peers.rs
+++ b/crates/instance/src/instance/peers.rs
@@ -11,7 +11,7 @@
 
 use bytes::Bytes;
 use tokio::net::{TcpListener, TcpStream};
-use trefoil_core::dispatch::limits::LINK_SILENT_MS;
+use trefoil_core::dispatch::limits::LINK_TIMEOUT_MS;
 use trefoil_core::dispatch::retirement::{Retirement, Side};
 use trefoil_schema::dispatch::frame::Body;
 use trefoil_schema::dispatch::{Frame, Hello};
@@ -107,7 +107,7 @@
     }
 }
 
-impl<E: Store + Workers + 'static> Instance<E> {
+impl<E: Store + WorkerClient + 'static> Instance<E> {
     /// Accepts links from other instances until the process ends.
     pub async fn accept_links(self: Rc<Self>, listener: TcpListener) {
         loop {
@@ -143,11 +143,11 @@
         };
         let hello = Body::Hello(Hello {
             node: Some(self.me.clone()),
-            known: self.state.borrow().ownership.introductions(),
+            known: self.state.borrow().ownership.known_nodes(),
         });
         opened.sender.send(encode(hello));
         let mut reader = opened.reader;
-        let first = tokio::time::timeout(Duration::from_millis(LINK_SILENT_MS), reader.next());
+        let first = tokio::time::timeout(Duration::from_millis(LINK_TIMEOUT_MS), reader.next());
         let Ok(Ok(Some(Frame {
             body:
                 Some(Body::Hello(Hello {
@@ -187,7 +187,7 @@
         info!(self.log, "link up"; "peer" => &node.name, "incarnation" => node.incarnation,
             "side" => ?side);
         self.change(|state, now_ms, _| {
-            state.ownership.linked(now_ms, &node);
+            state.ownership.on_link_up(now_ms, &node);
             let link = Link {
                 peer: node,
                 retirement: Retirement::new(now_ms, side),
@@ -245,17 +245,17 @@
         info!(self.log, "link down"; "peer" => &name, "cause" => ?end, "side" => ?link.retirement.side(),
             "last_heard_ms" => now_ms.saturating_sub(link.heard_ms));
         state.each_owner(effects, |owner, out| {
-            owner.origin_lost(now_ms, Origin::Link(id), out);
+            owner.on_origin_lost(now_ms, Origin::Link(id), out);
         });
         let is_last = state.peers.links_to(&name).next().is_none();
         if end == LinkEnd::Retired {
             if is_last {
-                state.ownership.link_retired(now_ms, &name);
+                state.ownership.on_link_closed(now_ms, &name);
             }
             return;
         }
         if is_last {
-            state.ownership.unlinked(now_ms, &name);
+            state.ownership.on_link_down(now_ms, &name);
             if *name < *self.me.name {
                 // It dials first.
                 state.peers.dialed_ms.insert(name.clone(), now_ms);
@@ -283,7 +283,7 @@
         let State {
             ownership, peers, ..
         } = &mut *state;
-        let is_mesh = ownership.is_mesh();
+        let is_mesh = ownership.is_full_mesh();
         for node in ownership.desired_peers() {
             let name = node.name.as_str();
             let dialed_ms = peers.dialed_ms.get(name);
--- a/crates/instance/src/instance/stop.rs
+++ b/crates/instance/src/instance/stop.rs
@@ -16,16 +16,16 @@
 
 /// How a planned stop ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Ending {
+pub enum ShutdownOutcome {
     /// Every request was answered.
     Drained,
     /// The budget was spent before.
     BudgetSpent,
 }
 
-impl<E: Store + Workers + 'static> Instance<E> {
+impl<E: Store + WorkerClient + 'static> Instance<E> {
     /// Leaves the deployment, and returns when nothing is left to do.
-    pub async fn leave(self: Rc<Self>) -> Ending {
+    pub async fn shut_down(self: Rc<Self>) -> ShutdownOutcome {
         info!(self.log, "leaving"; "budget_ms" => self.settings.stop_budget_ms);
         let since_ms = self.now_ms();
         self.change(|state, _, _| {
@@ -41,7 +41,7 @@
         });
         let ending = self.drained(since_ms).await;
         self.change(|state, now_ms, effects| {
-            state.entry.close(&mut effects.entry);
+            state.entry.shut_down(&mut effects.entry);
             state.each_owner(effects, |owner, out| owner.release(now_ms, out));
         });
         // Lets the last answers reach their connections.
@@ -49,20 +49,20 @@
         ending
     }
 
-    async fn drained(&self, since_ms: u64) -> Ending {
+    async fn drained(&self, since_ms: u64) -> ShutdownOutcome {
         let limit_ms = since_ms + self.settings.stop_budget_ms.saturating_sub(RESERVE_MS);
         loop {
             let now_ms = self.now_ms();
             let idle = {
                 let state = self.state.borrow();
-                let owned = state.owners.values().map(|owner| owner.sizes().jobs);
+                let owned = state.owners.values().map(|owner| owner.stats().jobs);
                 state.entry.is_empty() && owned.sum::<usize>() == 0
             };
             if idle && now_ms >= since_ms + BALANCER_MS {
-                return Ending::Drained;
+                return ShutdownOutcome::Drained;
             }
             if now_ms >= limit_ms {
-                return Ending::BudgetSpent;
+                return ShutdownOutcome::BudgetSpent;
             }
             tokio::time::sleep(Duration::from_millis(LOOK_MS)).await;
         }
