--- a/examples/link_churn/main.rs
+++ b/examples/link_churn/main.rs
@@ -76,12 +76,12 @@
     Links,
     tokio::sync::mpsc::Receiver<trefoilbay::links::Incoming>,
 ) {
-    let me = InstanceRef {
+    let local_instance = InstanceRef {
         name: name.to_owned(),
         incarnation,
     };
     let settings = LinkSettings {
-        me,
+        local_instance,
         listen,
         ..LinkSettings::default()
     };
--- a/examples/link_rate/links.rs
+++ b/examples/link_rate/links.rs
@@ -21,7 +21,7 @@
     let listen = free.local_addr().unwrap();
     drop(free);
     let settings = LinkSettings {
-        me: reference(name),
+        local_instance: reference(name),
         listen,
         ..LinkSettings::default()
     };
--- a/src/http/operator/write.rs
+++ b/src/http/operator/write.rs
@@ -15,7 +15,7 @@
 use super::render::{Renderer, Source, Stored, tagged};
 use super::{Collection, OperatorContext, refuse};
 use crate::http::problem::Problem;
-use crate::sources::config::write::{WriteError, replace};
+use crate::sources::config::write::{WriteError, write_if_unchanged};
 use crate::sources::platform::KeyValue;
 
 /// Largest body of a declaration, in bytes.
@@ -113,7 +113,7 @@
     value: Option<Bytes>,
 ) -> Result<u64, WriteError> {
     let store_key = context.config.store_key(key);
-    replace(
+    write_if_unchanged(
         context.store.as_ref(),
         &context.platform,
         &store_key,
--- a/src/links.rs
+++ b/src/links.rs
@@ -23,10 +23,10 @@
 use tokio_util::codec::LengthDelimitedCodec;
 use trefoil_schema::peer::{InstanceRef, message::Body};
 
-pub use error::{LinkError, LinkReason};
+pub use error::{LinkError, LinkErrorKind};
 pub use probe::{Probe, probe};
 pub use settings::LinkSettings;
-pub use stats::{Dropped, LinkStats};
+pub use stats::{DropStats, LinkStats};
 
 use inbound::Inbound;
 use outbound::{Context, Peer};
@@ -105,7 +105,7 @@
         settings: LinkSettings,
         log: slog::Logger,
     ) -> Result<(Self, mpsc::Receiver<Incoming>), LinkError> {
-        let (deliver, incoming) = mpsc::channel(settings.inbox_messages);
+        let (deliver, incoming) = mpsc::channel(settings.inbox_capacity);
         let context = Arc::new(Context::new(settings, log));
         let inbound = Inbound::start(&context, deliver)?;
         let peers = Arc::new(Peers::default());
--- a/src/links/error.rs
+++ b/src/links/error.rs
@@ -8,18 +8,18 @@
 
 /// A message that was not queued, or links that did not start.
 #[derive(Clone, Debug, Display, Error)]
-#[display("{reason} ({verdict})")]
+#[display("{kind} ({verdict})")]
 pub struct LinkError {
     /// What is known about the work behind the message.
     pub verdict: Verdict,
     /// Why.
     #[error(source)]
-    pub reason: LinkReason,
+    pub kind: LinkErrorKind,
 }
 
 /// Why a message was not queued, or why the links did not start.
 #[derive(Clone, Debug, Display, Error)]
-pub enum LinkReason {
+pub enum LinkErrorKind {
     /// No address is known for the peer.
     #[display("no address for peer {name}; is it in the instance list?")]
     UnknownPeer {
@@ -54,25 +54,25 @@
 }
 
 impl LinkError {
-    pub(crate) fn not_run(reason: LinkReason) -> Self {
+    pub(crate) fn not_run(kind: LinkErrorKind) -> Self {
         Self {
             verdict: Verdict::NotRun,
-            reason,
+            kind,
         }
     }
 
     pub(crate) fn unknown_peer(name: &str) -> Self {
         let name = name.to_owned();
-        Self::not_run(LinkReason::UnknownPeer { name })
+        Self::not_run(LinkErrorKind::UnknownPeer { name })
     }
 
     pub(crate) fn queue_full(name: &str) -> Self {
         let name = name.to_owned();
-        Self::not_run(LinkReason::QueueFull { name })
+        Self::not_run(LinkErrorKind::QueueFull { name })
     }
 
     pub(crate) fn socket(address: SocketAddr, source: std::io::Error) -> Self {
         let source = Arc::new(source);
-        Self::not_run(LinkReason::Socket { address, source })
+        Self::not_run(LinkErrorKind::Socket { address, source })
     }
 }
--- a/src/links/outbound.rs
+++ b/src/links/outbound.rs
@@ -22,7 +22,7 @@
 use tokio_util::codec::{FramedWrite, LengthDelimitedCodec};
 use trefoil_schema::peer::{Frame, Message, message::Body};
 
-use super::error::{LinkError, LinkReason};
+use super::error::{LinkError, LinkErrorKind};
 use super::queue::Queue;
 use super::settings::LinkSettings;
 use super::stats::{Counter, Counters};
@@ -179,8 +179,8 @@
         if bytes <= bytes_max {
             return Ok(());
         }
-        let reason = LinkReason::TooLarge { bytes, bytes_max };
-        Err(LinkError::not_run(reason))
+        let kind = LinkErrorKind::TooLarge { bytes, bytes_max };
+        Err(LinkError::not_run(kind))
     }
 
     fn start_carrier(self: &Arc<Self>, address: SocketAddr) -> AbortHandle {
@@ -209,7 +209,7 @@
 
     /// Connects and awaits the greeting.
     async fn dial(&self, address: SocketAddr) -> Option<(OwnedReadHalf, Writer)> {
-        let limit = Duration::from_millis(self.context.settings.redial_ms);
+        let limit = Duration::from_millis(self.context.settings.dial_timeout_ms);
         let greeted = async {
             let stream = TcpStream::connect(address).await.ok()?;
             stream.set_nodelay(true).ok()?;
@@ -260,11 +260,11 @@
         self.drop_late(&mut state, now);
         let batch = state.queue.take_batch(now, settings)?;
         state.sequence += 1;
-        let late = Duration::from_millis(settings.late_ms);
+        let late = Duration::from_millis(settings.queue_timeout_ms);
         let left = late.saturating_sub(now.duration_since(batch.oldest));
         let messages = batch.messages.len();
         let frame = Frame {
-            from: Some(settings.me.clone()),
+            from: Some(settings.local_instance.clone()),
             sequence: state.sequence,
             messages: batch.messages,
         };
--- a/src/links/queue.rs
+++ b/src/links/queue.rs
@@ -47,7 +47,7 @@
 
     /// Drops what has waited longer than the bound; returns how many.
     pub(crate) fn drop_late(&mut self, now: Instant, bounds: &LinkSettings) -> usize {
-        let late = Duration::from_millis(bounds.late_ms);
+        let late = Duration::from_millis(bounds.queue_timeout_ms);
         let count = self
             .waiting
             .iter()
--- a/src/links/settings.rs
+++ b/src/links/settings.rs
@@ -8,7 +8,7 @@
 #[derive(Clone, Debug)]
 pub struct LinkSettings {
     /// This instance, with the number of its start.
-    pub me: InstanceRef,
+    pub local_instance: InstanceRef,
     /// Where peers dial.
     pub listen: SocketAddr,
     /// A frame takes no further message once it holds this many bytes.
@@ -20,9 +20,9 @@
     /// Messages that may wait for one peer.
     pub queue_messages_max: usize,
     /// A message that has waited this long is dropped, in milliseconds.
-    pub late_ms: u64,
+    pub queue_timeout_ms: u64,
     /// Messages that may wait for this instance's own reader.
-    pub inbox_messages: usize,
+    pub inbox_capacity: usize,
     /// Senders remembered; frames of further ones are dropped.
     pub senders_max: usize,
     /// Shortest wait between two dials of a peer, in milliseconds.
@@ -30,24 +30,24 @@
     /// Longest wait between two dials of a peer, in milliseconds.
     pub reconnect_max_ms: u64,
     /// A dial without an answer is begun anew after this time, in milliseconds.
-    pub redial_ms: u64,
+    pub dial_timeout_ms: u64,
 }
 
 impl Default for LinkSettings {
     fn default() -> Self {
         Self {
-            me: InstanceRef::default(),
+            local_instance: InstanceRef::default(),
             listen: SocketAddr::from((Ipv4Addr::LOCALHOST, 0)),
             frame_bytes_max: 256 << 10,
             message_bytes_max: 16 << 20,
             queue_bytes_max: 32 << 20,
             queue_messages_max: 16 << 10,
-            late_ms: 2_000,
-            inbox_messages: 16 << 10,
+            queue_timeout_ms: 2_000,
+            inbox_capacity: 16 << 10,
             senders_max: 4 << 10,
             reconnect_min_ms: 20,
             reconnect_max_ms: 500,
-            redial_ms: 3_000,
+            dial_timeout_ms: 3_000,
         }
     }
 }
--- a/src/links/stats.rs
+++ b/src/links/stats.rs
@@ -26,12 +26,12 @@
     /// Dials and connections given up after no progress.
     pub redials: u64,
     /// What was dropped, by reason.
-    pub dropped: Dropped,
+    pub dropped: DropStats,
 }
 
 /// What was dropped, by reason.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Dropped {
+pub struct DropStats {
     /// Messages that waited too long for their peer.
     pub late: u64,
     /// Messages refused because the peer's queue was full.
@@ -68,7 +68,7 @@
             pub(crate) fn read(&self) -> LinkStats {
                 LinkStats {
                     $($field: self.$field.get(),)*
-                    dropped: Dropped { $($dropped: self.$dropped.get(),)* },
+                    dropped: DropStats { $($dropped: self.$dropped.get(),)* },
                 }
             }
         }
--- a/src/peers.rs
+++ b/src/peers.rs
@@ -136,7 +136,7 @@
             address: address.clone(),
         })?;
         let link_settings = LinkSettings {
-            me: (&me).into(),
+            local_instance: (&me).into(),
             listen,
             ..LinkSettings::default()
         };
@@ -185,7 +185,7 @@
     }
 
     /// Whether the newest view has this instance.
-    pub fn in_force(&self) -> bool {
+    pub fn in_view(&self) -> bool {
         self.membership().in_force()
     }
 
--- a/src/peers/handover.rs
+++ b/src/peers/handover.rs
@@ -94,7 +94,7 @@
     }
 
     /// Tells others that this instance ends, so that they ask its successors.
-    pub fn say_gone(self: &Arc<Self>) {
+    pub fn announce_departure(self: &Arc<Self>) {
         let mut commands = Vec::new();
         let mut membership = self.membership();
         membership.say_gone(&mut commands);
@@ -105,7 +105,7 @@
 
     async fn wait_for_removal(&self, limit: Duration) -> bool {
         let removed = async {
-            while self.in_force() {
+            while self.in_view() {
                 sleep(VIEW_POLL).await;
             }
         };
--- a/src/server/parts.rs
+++ b/src/server/parts.rs
@@ -27,7 +27,7 @@
 use crate::sources::config::{ConfigHandle, ConfigSync};
 use crate::sources::instances;
 use crate::sources::platform::PlatformStore;
-use crate::sources::platform::etcd::EtcdJson;
+use crate::sources::platform::etcd::EtcdClient;
 use crate::workers::WorkerClient;
 
 /// Period of looks at the planned stop and the gauges.
@@ -41,7 +41,7 @@
 
 /// Everything that serves requests.
 pub struct Parts {
-    pub(super) etcd: EtcdJson,
+    pub(super) etcd: EtcdClient,
     pub(super) runtime: Arc<Runtime>,
     pub(super) peers: Arc<Peers>,
     store: Arc<dyn PlatformStore>,
@@ -57,7 +57,7 @@
     /// The peer address cannot be listened on.
     pub fn start(context: &Arc<Context>) -> Result<Arc<Self>, ServerError> {
         let settings = &context.settings;
-        let etcd = EtcdJson::new(settings);
+        let etcd = EtcdClient::new(settings);
         let store: Arc<dyn PlatformStore> = Arc::new(etcd.clone());
         let config = ConfigSync::start(store.clone(), settings, context.log.clone());
         let engine = Engine::new(EngineSettings::from(settings));
@@ -189,7 +189,7 @@
         ticks.tick().await;
         let state = context.stop.state();
         if state == DrainState::Serving {
-            context.set_in_view(parts.peers.in_force());
+            context.set_in_view(parts.peers.in_view());
         } else if !has_left {
             parts.peers.leave();
             has_left = true;
@@ -217,6 +217,6 @@
 async fn hand_over(context: Arc<Context>, parts: Arc<Parts>, hold: Hold) {
     let left = context.stop.budget_left().saturating_sub(CLOSE_RESERVE);
     parts.peers.hand_over(left.min(HANDOVER_MAX)).await;
-    parts.peers.say_gone();
+    parts.peers.announce_departure();
     drop(hold);
 }
--- a/src/sources/config/write.rs
+++ b/src/sources/config/write.rs
@@ -40,7 +40,7 @@
 
 /// Replaces `before`, the key as it was read, by `value` (`None` removes it);
 /// gives the revision of the value, 0 for a removal.
-pub async fn replace(
+pub async fn write_if_unchanged(
     store: &dyn PlatformStore,
     settings: &PlatformSettings,
     key: &str,
--- a/src/sources/platform.rs
+++ b/src/sources/platform.rs
@@ -1,7 +1,7 @@
 //! The platform's key-value service.
 //!
 //! [`PlatformStore`] is the edge: another store costs one file. The only
-//! implementation is [`etcd::EtcdJson`], etcd v3 over its JSON mapping.
+//! implementation is [`etcd::EtcdClient`], etcd v3 over its JSON mapping.
 
 use std::future::Future;
 use std::pin::Pin;
--- a/src/sources/platform/etcd.rs
+++ b/src/sources/platform/etcd.rs
@@ -42,7 +42,7 @@
 
 /// Client of one etcd address; clones share connections and counters.
 #[derive(Clone, Debug)]
-pub struct EtcdJson {
+pub struct EtcdClient {
     shared: Arc<Shared>,
 }
 
@@ -56,7 +56,7 @@
     calls: CallCounters,
 }
 
-impl EtcdJson {
+impl EtcdClient {
     /// A client for `settings.platform`, calling as `settings.instance`.
     pub fn new(settings: &Settings) -> Self {
         let call_timeout = Duration::from_millis(settings.platform.call_timeout_ms);
@@ -197,7 +197,7 @@
     }
 }
 
-impl PlatformStore for EtcdJson {
+impl PlatformStore for EtcdClient {
     fn range<'a>(&'a self, prefix: &'a str) -> StoreFuture<'a, Listing> {
         Box::pin(self.shared.range(prefix))
     }
--- a/tests/testsuite/links.rs
+++ b/tests/testsuite/links.rs
@@ -15,7 +15,7 @@
 use trefoil_core::verdict::Verdict;
 use trefoil_schema::peer::{CancelJob, ForwardJob, Frame, InstanceRef, Message, message::Body};
 use trefoilbay::links::{
-    GREETING, Incoming, LinkReason, LinkSettings, LinkStats, Links, Probe, probe,
+    GREETING, Incoming, LinkErrorKind, LinkSettings, LinkStats, Links, Probe, probe,
 };
 
 /// No test waits longer than this for what must come.
@@ -33,7 +33,7 @@
 
 fn settings(name: &str, incarnation: u64) -> LinkSettings {
     LinkSettings {
-        me: reference(name, incarnation),
+        local_instance: reference(name, incarnation),
         listen: free_address(),
         ..LinkSettings::default()
     }
@@ -220,7 +220,7 @@
     next(&mut at_b).await;
     drop(a);
     let (a, mut at_a) = start(&LinkSettings {
-        me: reference("a", 2),
+        local_instance: reference("a", 2),
         ..a_settings.clone()
     });
     a.set_peer("b", b_settings.listen);
@@ -244,7 +244,7 @@
     a.remove_peer("b");
     let error = a.send("b", cancel(2)).unwrap_err();
     assert_eq!(error.verdict, Verdict::NotRun);
-    assert!(matches!(error.reason, LinkReason::UnknownPeer { .. }));
+    assert!(matches!(error.kind, LinkErrorKind::UnknownPeer { .. }));
     // Sequence numbers go on, so the receiver takes no frame for a doubled one.
     a.set_peer("b", b_settings.listen);
     a.send("b", cancel(3)).unwrap();
@@ -269,7 +269,7 @@
     for id in 0..1_000 {
         if let Err(error) = a.send("dead", cancel(id)) {
             assert_eq!(error.verdict, Verdict::NotRun);
-            assert!(matches!(error.reason, LinkReason::QueueFull { .. }));
+            assert!(matches!(error.kind, LinkErrorKind::QueueFull { .. }));
             refused += 1;
         }
     }
@@ -284,8 +284,8 @@
     // Accepts connections in the kernel alone and never answers.
     let frozen = TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).unwrap();
     let (a, _at_a) = start(&LinkSettings {
-        late_ms: 20,
-        redial_ms: 60,
+        queue_timeout_ms: 20,
+        dial_timeout_ms: 60,
         queue_messages_max: 10,
         ..settings("a", 1)
     });
@@ -311,8 +311,8 @@
         }
     });
     let (a, _at_a) = start(&LinkSettings {
-        late_ms: 100,
-        redial_ms: 60,
+        queue_timeout_ms: 100,
+        dial_timeout_ms: 60,
         queue_bytes_max: BOUND * MESSAGE_BYTES + (1 << 10),
         ..settings("a", 1)
     });
@@ -336,10 +336,10 @@
 async fn late_messages_are_dropped_and_the_time_left_is_brought_up_to_date() {
     let b_settings = settings("b", 1);
     let (a, _at_a) = start(&LinkSettings {
-        late_ms: 300,
+        queue_timeout_ms: 300,
         // Dials within the time that the second message may wait.
         reconnect_max_ms: 20,
-        redial_ms: 60_000,
+        dial_timeout_ms: 60_000,
         ..settings("a", 1)
     });
     a.set_peer("b", b_settings.listen);
@@ -371,7 +371,7 @@
         .send("b", Body::CancelJob(CancelJob { request_id: 1, key }))
         .unwrap_err();
     assert_eq!(error.verdict, Verdict::NotRun);
-    assert!(matches!(error.reason, LinkReason::TooLarge { .. }));
+    assert!(matches!(error.kind, LinkErrorKind::TooLarge { .. }));
 }
 
 #[tokio::test]
--- a/tests/testsuite/metrics.rs
+++ b/tests/testsuite/metrics.rs
@@ -178,12 +178,12 @@
 async fn messages_between_instances_that_bring_nothing_are_counted() {
     let worker = Worker::start().await;
     let pair = pair(&worker).await;
-    let me = InstanceRef {
+    let local_instance = InstanceRef {
         name: "stranger".to_owned(),
         incarnation: 1,
     };
     let settings = LinkSettings {
-        me,
+        local_instance,
         ..LinkSettings::default()
     };
     let log = Logger::root(Discard, o!());
--- a/tests/testsuite/operator.rs
+++ b/tests/testsuite/operator.rs
@@ -17,7 +17,7 @@
 use trefoilbay::http::operator::{OperatorContext, routes};
 use trefoilbay::sources::config::{ConfigHandle, ConfigSync};
 use trefoilbay::sources::platform::PlatformStore;
-use trefoilbay::sources::platform::etcd::EtcdJson;
+use trefoilbay::sources::platform::etcd::EtcdClient;
 
 /// Longest wait for a change to come into force.
 pub(crate) const IN_FORCE_WAIT: Duration = Duration::from_secs(5);
@@ -25,7 +25,7 @@
 /// The operators' side of one instance.
 pub(crate) struct Instance {
     pub(crate) config: ConfigHandle,
-    pub(crate) store: EtcdJson,
+    pub(crate) store: EtcdClient,
     api: Route,
 }
 
@@ -58,7 +58,7 @@
             },
             ..Settings::default()
         };
-        let store = EtcdJson::new(&settings);
+        let store = EtcdClient::new(&settings);
         let edge: Arc<dyn PlatformStore> = Arc::new(store.clone());
         let log = Logger::root(Discard, o!());
         let config = ConfigSync::start(Arc::clone(&edge), &settings, log);
--- a/tests/testsuite/operator_sources.rs
+++ b/tests/testsuite/operator_sources.rs
@@ -15,7 +15,7 @@
 use trefoil_fakes::platform::faults::FaultUpdate;
 use trefoil_schema::settings::{PlatformSettings, Settings};
 use trefoilbay::sources::instances;
-use trefoilbay::sources::platform::etcd::{CallKind, EtcdJson};
+use trefoilbay::sources::platform::etcd::{CallKind, EtcdClient};
 use trefoilbay::sources::platform::{CasResult, PlatformStore, StoreError};
 
 use crate::operator::{Instance, drop_answers, start_platform};
@@ -58,7 +58,7 @@
     std::future::pending::<()>().await;
 }
 
-fn store_of(platform: &PlatformHandle) -> (EtcdJson, Settings) {
+fn store_of(platform: &PlatformHandle) -> (EtcdClient, Settings) {
     let settings = Settings {
         platform: PlatformSettings {
             address: platform.address.to_string(),
@@ -68,7 +68,7 @@
         },
         ..Settings::default()
     };
-    (EtcdJson::new(&settings), settings)
+    (EtcdClient::new(&settings), settings)
 }
 
 #[tokio::test]
@@ -156,7 +156,7 @@
         platform: platform_settings,
         ..Settings::default()
     };
-    let refused = EtcdJson::new(&settings).put_if("k", "3".into(), 0).await;
+    let refused = EtcdClient::new(&settings).put_if("k", "3".into(), 0).await;
     assert!(matches!(refused, Err(StoreError::NotApplied { .. })));
 }
 
--- a/tests/testsuite/support/api_stub.rs
+++ b/tests/testsuite/support/api_stub.rs
@@ -26,7 +26,7 @@
 use trefoilbay::http::problem::Problem;
 use trefoilbay::sources::config::ConfigSync;
 use trefoilbay::sources::platform::PlatformStore;
-use trefoilbay::sources::platform::etcd::EtcdJson;
+use trefoilbay::sources::platform::etcd::EtcdClient;
 
 /// The only key it mints.
 pub const MINTED_KEY: &str = "01890a5d-ac96-8abc-8000-000000000001";
@@ -140,7 +140,7 @@
         },
         ..Settings::default()
     };
-    let store: Arc<dyn PlatformStore> = Arc::new(EtcdJson::new(&settings));
+    let store: Arc<dyn PlatformStore> = Arc::new(EtcdClient::new(&settings));
     let log = Logger::root(Discard, o!());
     let config = ConfigSync::start(Arc::clone(&store), &settings, log);
     let status = {
--- a/tests/testsuite/telemetry.rs
+++ b/tests/testsuite/telemetry.rs
@@ -74,9 +74,9 @@
         messages_in: 7 * count,
         gaps: 6 * count,
         connects: 8 * count,
-        dropped: links::Dropped {
+        dropped: links::DropStats {
             queue_full: 9 * count,
-            ..links::Dropped::default()
+            ..links::DropStats::default()
         },
         ..LinkStats::default()
     });
