--- a/src/links.rs
+++ b/src/links.rs
@@ -1,10 +1,10 @@
 //! Links between instances over TCP.
 //!
-//! Each instance listens at one address and dials one connection a peer. A
-//! connection carries length-delimited frames one way, behind a greeting.
-//! What is sent while a frame is on its way gathers into the next frame, so
-//! batching adds no delay. Nothing is ever resent: the layer above matches
-//! answers to requests and times out.
+//! Each instance listens on one address and opens one connection to each peer. A
+//! connection carries length-delimited frames in one direction, after a greeting.
+//! Messages queued while a frame is being sent are batched into the next frame, so
+//! batching adds no delay. Messages are never retransmitted: callers match answers
+//! to requests and apply their own timeouts.
 
 mod error;
 mod filter;
@@ -24,24 +24,24 @@
 use trefoil_schema::peer::{InstanceRef, message::Body};
 
 pub use error::{LinkError, LinkErrorKind};
-pub use probe::{Probe, probe};
+pub use probe::{ProbeResult, probe};
 pub use settings::LinkSettings;
 pub use stats::{DropStats, LinkStats};
 
 use inbound::Inbound;
 use outbound::{Context, Peer};
 
-/// One message from a peer, delivered at most once.
+/// A message received from a peer; delivered at most once.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Incoming {
-    /// The sender, with the number of its start.
+    /// The sending instance and its incarnation.
     pub from: InstanceRef,
-    /// What it says. Payloads and results share the memory of their frame:
-    /// whoever keeps one for longer than a job lasts copies it.
+    /// The message. Payloads and results share the memory of the received frame;
+    /// copy them to keep them for longer than a job runs.
     pub message: Body,
 }
 
-/// Handle on all links of this instance; the last clone dropped closes them.
+/// Handle to all links of this instance; dropping the last clone closes them.
 #[derive(Clone)]
 pub struct Links {
     shared: Arc<Shared>,
@@ -49,24 +49,24 @@
 
 struct Shared {
     context: Arc<Context>,
-    peers: Arc<Peers>,
+    peers: Arc<PeerTable>,
     inbound: Inbound,
 }
 
-/// Peers by name, and the sequence numbers that removed peers had reached.
+/// Peers by name, and the last sequence numbers of removed peers.
 #[derive(Default)]
-pub(crate) struct Peers {
+pub(crate) struct PeerTable {
     by_name: RwLock<HashMap<String, Arc<Peer>>>,
-    reached: Mutex<HashMap<String, u64>>,
+    removed_sequences: Mutex<HashMap<String, u64>>,
 }
 
-impl Peers {
+impl PeerTable {
     fn get(&self, name: &str) -> Option<Arc<Peer>> {
         let peers = self.by_name.read().unwrap_or_else(PoisonError::into_inner);
         peers.get(name).cloned()
     }
 
-    /// All peers, for work that must not hold the map's lock.
+    /// All peers, cloned so that callers do not hold the lock.
     pub(crate) fn all(&self) -> Vec<Arc<Peer>> {
         let peers = self.by_name.read().unwrap_or_else(PoisonError::into_inner);
         peers.values().cloned().collect()
@@ -77,7 +77,10 @@
         if let Some(peer) = peers.get(name) {
             return peer.clone();
         }
-        let sequence = lock(&self.reached).get(name).copied().unwrap_or(0);
+        let sequence = lock(&self.removed_sequences)
+            .get(name)
+            .copied()
+            .unwrap_or(0);
         let peer = Peer::new(name, address, sequence, context.clone());
         peers.insert(name.to_owned(), peer.clone());
         peer
@@ -88,27 +91,28 @@
         let Some(peer) = peers.remove(name) else {
             return;
         };
-        let sequence = peer.retire();
-        lock(&self.reached).insert(name.to_owned(), sequence);
+        let sequence = peer.mark_removed();
+        lock(&self.removed_sequences).insert(name.to_owned(), sequence);
         drop(peers);
         peer.close();
     }
 }
 
 impl Links {
-    /// Listens at `settings.listen` and returns the handle and what arrives.
+    /// Listens on `settings.listen`; returns a handle and the receiver of incoming
+    /// messages.
     ///
     /// # Errors
     ///
-    /// The address can't be listened on.
+    /// Fails if the address cannot be bound.
     pub fn start(
         settings: LinkSettings,
         log: slog::Logger,
     ) -> Result<(Self, mpsc::Receiver<Incoming>), LinkError> {
-        let (deliver, incoming) = mpsc::channel(settings.inbox_capacity);
+        let (inbox, incoming) = mpsc::channel(settings.inbox_capacity);
         let context = Arc::new(Context::new(settings, log));
-        let inbound = Inbound::start(&context, deliver)?;
-        let peers = Arc::new(Peers::default());
+        let inbound = Inbound::start(&context, inbox)?;
+        let peers = Arc::new(PeerTable::default());
         let shared = Shared {
             context,
             peers,
@@ -120,7 +124,8 @@
         Ok((links, incoming))
     }
 
-    /// Learns or changes a peer's address; dials at the first message to it.
+    /// Adds a peer or changes its address. The connection is opened when the first
+    /// message is sent.
     pub fn set_peer(&self, name: &str, address: SocketAddr) {
         let peer = self
             .shared
@@ -129,7 +134,7 @@
         peer.set_address(address);
     }
 
-    /// Forgets a peer: its queue is dropped and its connection closed.
+    /// Removes a peer, drops its queued messages and closes the connection.
     pub fn remove_peer(&self, name: &str) {
         self.shared.peers.remove(name);
     }
@@ -138,8 +143,8 @@
     ///
     /// # Errors
     ///
-    /// The peer has no address, its queue is full, or the message is too
-    /// large. The verdict is always "not run": nothing has left.
+    /// Fails if the peer is unknown, its queue is full, or the message is too
+    /// large. The verdict is always "not run", as nothing was sent.
     pub fn send(&self, to: &str, message: Body) -> Result<(), LinkError> {
         let peer = self.shared.peers.get(to);
         let peer = peer.ok_or_else(|| LinkError::unknown_peer(to))?;
@@ -156,23 +161,23 @@
     fn drop(&mut self) {
         self.inbound.close();
         for peer in self.peers.all() {
-            peer.retire();
+            peer.mark_removed();
             peer.close();
         }
     }
 }
 
-/// Locks; a panic elsewhere leaves the counters and queues usable.
-/// What the accepting side sends first.
+/// Bytes that the accepting side sends first on each connection.
 pub const GREETING: &[u8; 8] = b"trefoil1";
 
-/// How frames are delimited on the wire.
 pub(crate) fn codec(settings: &LinkSettings) -> LengthDelimitedCodec {
     LengthDelimitedCodec::builder()
         .max_frame_length(settings.receive_bytes_max())
         .new_codec()
 }
 
+/// Locks and ignores poisoning; a panic does not leave the queues or counters
+/// inconsistent.
 pub(crate) fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
--- a/src/links/error.rs
+++ b/src/links/error.rs
@@ -1,4 +1,4 @@
-//! Errors of the links.
+//! Link errors.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -6,50 +6,50 @@
 use derive_more::{Display, Error};
 use trefoil_core::verdict::Verdict;
 
-/// A message that was not queued, or links that did not start.
+/// Why a message was not queued, or why the links could not be started.
 #[derive(Clone, Debug, Display, Error)]
 #[display("{kind} ({verdict})")]
 pub struct LinkError {
-    /// What is known about the work behind the message.
+    /// Whether the work that the message requests may have run.
     pub verdict: Verdict,
-    /// Why.
+    /// The cause.
     #[error(source)]
     pub kind: LinkErrorKind,
 }
 
-/// Why a message was not queued, or why the links did not start.
+/// Cause of a [`LinkError`].
 #[derive(Clone, Debug, Display, Error)]
 pub enum LinkErrorKind {
-    /// No address is known for the peer.
+    /// The peer has no address, or was removed.
     #[display("no address for peer {name}; is it in the instance list?")]
     UnknownPeer {
         /// The peer's configured name.
         name: String,
     },
-    /// As much waits for the peer as may wait.
+    /// The peer's send queue is full.
     #[display("queue for peer {name} is full; the peer is down, cut off or slow")]
     QueueFull {
         /// The peer's configured name.
         name: String,
     },
-    /// The message is larger than a message may be.
-    #[display("message of {bytes} bytes is over the bound of {bytes_max}")]
+    /// The message exceeds `message_bytes_max`.
+    #[display("message of {bytes} bytes exceeds the limit of {bytes_max} bytes")]
     TooLarge {
-        /// Its size in bytes.
+        /// Size of the message in bytes.
         bytes: usize,
-        /// The bound in bytes.
+        /// The limit in bytes.
         bytes_max: usize,
     },
-    /// The address cannot be listened on.
-    #[display("links at {address} failed: {source}; is the address in use?")]
+    /// The listen address cannot be bound.
+    #[display("cannot listen on {address}: {source}; is the address in use?")]
     Socket {
-        /// The address listened on or dialled.
+        /// The listen address.
         address: SocketAddr,
-        /// What the system said.
+        /// The error of the operating system.
         source: Arc<std::io::Error>,
     },
-    /// The housekeeping thread did not start.
-    #[display("thread of the links did not start; are threads limited?")]
+    /// A thread could not be started.
+    #[display("cannot start the link thread; is the number of threads limited?")]
     Thread,
 }
 
--- a/src/links/filter.rs
+++ b/src/links/filter.rs
@@ -1,71 +1,71 @@
-//! Which received frames are new: by sender, incarnation and sequence.
+//! Filters duplicate and outdated frames by sender, incarnation and sequence.
 
 use std::collections::HashMap;
 
 use trefoil_schema::peer::Frame;
 
-/// What to do with a received frame.
+/// Result of checking a received frame.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Fate {
-    /// Deliver; so many frames before it are missing.
+pub(crate) enum FrameCheck {
+    /// The frame is new; `gap` frames before it were not received.
     Deliver { gap: u64 },
     /// No sender or no sequence number.
-    Rubbish,
-    /// Seen, or overtaken by a later frame.
-    Doubled,
-    /// A newer incarnation of the sender was heard.
+    Malformed,
+    /// Received before, or older than a received frame.
+    Duplicate,
+    /// From an older incarnation of the sender than a received frame.
     Stale,
-    /// More senders than are remembered.
-    Crowded,
+    /// From a new sender, while `senders_max` senders are known.
+    TooManySenders,
 }
 
-struct Heard {
+struct Position {
     incarnation: u64,
     sequence: u64,
 }
 
-/// The newest incarnation and sequence number of each sender.
+/// The latest incarnation and sequence number of each sender.
 #[derive(Default)]
-pub(crate) struct Filter {
-    heard: HashMap<String, Heard>,
+pub(crate) struct FrameFilter {
+    latest: HashMap<String, Position>,
 }
 
-impl Filter {
-    /// Judges a frame and remembers it when it is to be delivered.
-    pub(crate) fn judge(&mut self, frame: &Frame, senders_max: usize) -> Fate {
+impl FrameFilter {
+    /// Checks a frame, and records it if it is to be delivered.
+    pub(crate) fn check(&mut self, frame: &Frame, senders_max: usize) -> FrameCheck {
         let Some(from) = &frame.from else {
-            return Fate::Rubbish;
+            return FrameCheck::Malformed;
         };
         if from.name.is_empty() || frame.sequence == 0 {
-            return Fate::Rubbish;
+            return FrameCheck::Malformed;
         }
-        let Some(heard) = self.heard.get_mut(&from.name) else {
-            if self.heard.len() >= senders_max {
-                return Fate::Crowded;
+        let Some(latest) = self.latest.get_mut(&from.name) else {
+            if self.latest.len() >= senders_max {
+                return FrameCheck::TooManySenders;
             }
-            let heard = Heard {
+            let latest = Position {
                 incarnation: from.incarnation,
                 sequence: frame.sequence,
             };
-            self.heard.insert(from.name.clone(), heard);
-            return Fate::Deliver { gap: 0 };
+            self.latest.insert(from.name.clone(), latest);
+            return FrameCheck::Deliver { gap: 0 };
         };
-        if from.incarnation < heard.incarnation {
-            return Fate::Stale;
+        if from.incarnation < latest.incarnation {
+            return FrameCheck::Stale;
         }
-        if from.incarnation > heard.incarnation {
-            heard.incarnation = from.incarnation;
-            heard.sequence = frame.sequence;
-            // A new incarnation counts from 1.
-            return Fate::Deliver {
+        if from.incarnation > latest.incarnation {
+            latest.incarnation = from.incarnation;
+            latest.sequence = frame.sequence;
+            // Each incarnation numbers its frames from 1.
+            return FrameCheck::Deliver {
                 gap: frame.sequence - 1,
             };
         }
-        if frame.sequence <= heard.sequence {
-            return Fate::Doubled;
+        if frame.sequence <= latest.sequence {
+            return FrameCheck::Duplicate;
         }
-        let gap = frame.sequence - heard.sequence - 1;
-        heard.sequence = frame.sequence;
-        Fate::Deliver { gap }
+        let gap = frame.sequence - latest.sequence - 1;
+        latest.sequence = frame.sequence;
+        FrameCheck::Deliver { gap }
     }
 }
--- a/src/links/inbound.rs
+++ b/src/links/inbound.rs
@@ -1,4 +1,4 @@
-//! The receiving side: one listener, a task a connection.
+//! The receiving side: a listener, and one task for each connection.
 
 use std::io;
 use std::net::{Shutdown, TcpListener as StdListener};
@@ -15,27 +15,27 @@
 use trefoil_schema::peer::Frame;
 
 use super::error::LinkError;
-use super::filter::{Fate, Filter};
+use super::filter::{FrameCheck, FrameFilter};
 use super::outbound::Context;
 use super::{GREETING, Incoming, codec, lock};
 
-/// Receives frames until it is closed.
+/// Accepts connections and receives frames until it is closed.
 pub(crate) struct Inbound {
     listener: StdListener,
-    accepting: AbortHandle,
+    accept_task: AbortHandle,
 }
 
 struct Reader {
     context: Arc<Context>,
-    deliver: mpsc::Sender<Incoming>,
-    filter: Mutex<Filter>,
+    inbox: mpsc::Sender<Incoming>,
+    filter: Mutex<FrameFilter>,
 }
 
 impl Inbound {
-    /// Listens; what arrives goes to `deliver`.
+    /// Listens, and passes incoming messages to `inbox`.
     pub(crate) fn start(
         context: &Arc<Context>,
-        deliver: mpsc::Sender<Incoming>,
+        inbox: mpsc::Sender<Incoming>,
     ) -> Result<Self, LinkError> {
         let address = context.settings.listen;
         let socket = |error: io::Error| LinkError::socket(address, error);
@@ -43,35 +43,36 @@
         listener.set_nonblocking(true).map_err(socket)?;
         let reader = Arc::new(Reader {
             context: context.clone(),
-            deliver,
+            inbox,
             filter: Mutex::default(),
         });
-        let own = listener.try_clone().map_err(socket)?;
-        let _inside = context.handle.enter();
-        let tokio_listener = TcpListener::from_std(own).map_err(socket)?;
-        let accepting = context.handle.spawn(accept_all(reader, tokio_listener));
+        let clone = listener.try_clone().map_err(socket)?;
+        let _runtime = context.handle.enter();
+        let tokio_listener = TcpListener::from_std(clone).map_err(socket)?;
+        let accept_task = context.handle.spawn(accept_all(reader, tokio_listener));
         Ok(Self {
             listener,
-            accepting: accepting.abort_handle(),
+            accept_task: accept_task.abort_handle(),
         })
     }
 
-    /// Stops listening at once, and ends all connections.
+    /// Stops listening immediately and closes all connections.
     pub(crate) fn close(&self) {
-        // The task's own listener goes only when the task is next run.
+        // The aborted task drops its clone of the listener only when it is next
+        // scheduled.
         let _ = socket2::SockRef::from(&self.listener).shutdown(Shutdown::Both);
-        self.accepting.abort();
+        self.accept_task.abort();
     }
 }
 
-/// Serves connections; they end with this task.
+/// Accepts connections; they are closed when this task ends.
 async fn accept_all(reader: Arc<Reader>, listener: TcpListener) {
     let mut connections = JoinSet::new();
     loop {
         tokio::select! {
             accepted = listener.accept() => {
                 if let Ok((stream, _)) = accepted {
-                    connections.spawn(reader.clone().read_all(stream));
+                    connections.spawn(reader.clone().read_frames(stream));
                 }
             }
             Some(_) = connections.join_next() => {}
@@ -80,37 +81,37 @@
 }
 
 impl Reader {
-    async fn read_all(self: Arc<Self>, mut stream: TcpStream) {
+    async fn read_frames(self: Arc<Self>, mut stream: TcpStream) {
         if stream.write_all(GREETING).await.is_ok() {
             let mut frames = FramedRead::new(stream, codec(&self.context.settings));
             while let Some(Ok(bytes)) = frames.next().await {
-                self.accept(bytes);
+                self.receive(bytes);
             }
         }
         self.context.counters.disconnects.add(1);
     }
 
-    fn accept(&self, bytes: BytesMut) {
+    fn receive(&self, bytes: BytesMut) {
         let counters = &self.context.counters;
         counters.frames_in.add(1);
         counters.bytes_in.add(bytes.len());
-        // One copy of the frame, that keeps no more of the read buffer alive;
-        // payloads then share it instead of one each.
+        // Copies the frame once, so that its payloads share this copy and do not
+        // keep the read buffer alive.
         let Ok(frame) = Frame::decode(Bytes::copy_from_slice(&bytes)) else {
             return counters.rubbish.add(1);
         };
-        let fate = lock(&self.filter).judge(&frame, self.context.settings.senders_max);
-        match fate {
-            Fate::Deliver { gap } => {
+        let check = lock(&self.filter).check(&frame, self.context.settings.senders_max);
+        match check {
+            FrameCheck::Deliver { gap } => {
                 counters
                     .gaps
                     .add(usize::try_from(gap).unwrap_or(usize::MAX));
                 self.deliver(frame);
             }
-            Fate::Rubbish => counters.rubbish.add(1),
-            Fate::Doubled => counters.doubled.add(1),
-            Fate::Stale => counters.stale.add(1),
-            Fate::Crowded => counters.senders.add(1),
+            FrameCheck::Malformed => counters.rubbish.add(1),
+            FrameCheck::Duplicate => counters.doubled.add(1),
+            FrameCheck::Stale => counters.stale.add(1),
+            FrameCheck::TooManySenders => counters.senders.add(1),
         }
     }
 
@@ -122,14 +123,14 @@
                 counters.unknown.add(1);
                 continue;
             };
-            let Ok(place) = self.deliver.try_reserve() else {
+            let Ok(permit) = self.inbox.try_reserve() else {
                 counters.inbox_full.add(1);
                 continue;
             };
-            // Counted first: a reader that has the message finds it counted.
+            // Counted before delivery, so that the receiver sees it counted.
             counters.messages_in.add(1);
             let from = from.clone();
-            place.send(Incoming { from, message });
+            permit.send(Incoming { from, message });
         }
     }
 }
--- a/src/links/outbound.rs
+++ b/src/links/outbound.rs
@@ -1,9 +1,9 @@
-//! The sending side: one connection a peer, one frame on its way at a time.
+//! The sending side: one connection to each peer, one frame in flight at a time.
 //!
-//! A task a peer dials, waits for the other side's greeting, and then sends
-//! batch after batch. The greeting tells a peer that runs from one whose
-//! kernel alone accepts connections: a frozen process gets nothing that it
-//! would read much later.
+//! For each peer, a task dials, waits for the greeting and sends batches of
+//! messages. The greeting shows that the process is running: the kernel also
+//! accepts connections for a frozen process, which would read the messages much
+//! later.
 
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex};
@@ -28,14 +28,14 @@
 use super::stats::{Counter, Counters};
 use super::{GREETING, codec, lock};
 
-/// Shortest time that a connection has to take a frame.
+/// Minimum timeout for writing a frame to a connection.
 const SEND_TIMEOUT_MIN: Duration = Duration::from_millis(50);
 
-/// What all peers of one instance share.
+/// State shared by all links of an instance.
 pub(crate) struct Context {
     pub(crate) settings: LinkSettings,
     pub(crate) counters: Counters,
-    /// Where the tasks of the links run.
+    /// Runtime of the link tasks.
     pub(crate) handle: Handle,
     log: slog::Logger,
 }
@@ -43,7 +43,7 @@
 impl Context {
     /// # Panics
     ///
-    /// Outside a tokio runtime.
+    /// Panics outside a tokio runtime.
     pub(crate) fn new(settings: LinkSettings, log: slog::Logger) -> Self {
         Self {
             settings,
@@ -54,35 +54,35 @@
     }
 }
 
-/// One peer and what waits for it.
+/// A peer and its send queue.
 pub(crate) struct Peer {
     name: String,
     context: Arc<Context>,
     state: Mutex<State>,
-    /// Wakes the task that sends.
+    /// Wakes the sender task.
     queued: Notify,
 }
 
 struct State {
     address: SocketAddr,
-    /// Sequence number of the last frame.
+    /// Sequence number of the last frame sent.
     sequence: u64,
     queue: Queue,
     /// The task that dials and sends.
-    carrier: Option<AbortHandle>,
-    retired: bool,
+    sender_task: Option<AbortHandle>,
+    removed: bool,
 }
 
 type Writer = FramedWrite<OwnedWriteHalf, LengthDelimitedCodec>;
 
-/// A frame and what is to be counted of it.
-struct Outgoing {
+/// An encoded frame.
+struct OutgoingFrame {
     bytes: Bytes,
     messages: usize,
-    limit: Duration,
+    timeout: Duration,
 }
 
-/// Counts messages as lost unless their frame's fate was counted otherwise.
+/// Counts its messages as lost when dropped, unless `settled` was called.
 struct InFlight<'a> {
     messages: usize,
     lost: &'a Counter,
@@ -111,8 +111,8 @@
             address,
             sequence,
             queue: Queue::default(),
-            carrier: None,
-            retired: false,
+            sender_task: None,
+            removed: false,
         };
         Arc::new(Self {
             name: name.to_owned(),
@@ -122,32 +122,32 @@
         })
     }
 
-    /// Dials `address` from now on; what waits goes there.
+    /// Changes the address; queued messages are sent to the new one.
     pub(crate) fn set_address(self: &Arc<Self>, address: SocketAddr) {
         let mut state = lock(&self.state);
         if state.address == address {
             return;
         }
         state.address = address;
-        if let Some(old) = state.carrier.take() {
+        if let Some(old) = state.sender_task.take() {
             old.abort();
-            state.carrier = Some(self.start_carrier(address));
+            state.sender_task = Some(self.start_sender_task(address));
         }
     }
 
-    /// Queues a message; it goes out as soon as the connection is free.
+    /// Queues a message for the next frame.
     pub(crate) fn send(self: &Arc<Self>, body: Body) -> Result<(), LinkError> {
         let message = Message { body: Some(body) };
         self.check_size(&message)?;
         let mut state = lock(&self.state);
-        if state.retired {
+        if state.removed {
             return Err(LinkError::unknown_peer(&self.name));
         }
-        if state.carrier.is_none() {
-            state.carrier = Some(self.start_carrier(state.address));
+        if state.sender_task.is_none() {
+            state.sender_task = Some(self.start_sender_task(state.address));
         }
         let now = Instant::now();
-        self.drop_late(&mut state, now);
+        self.drop_expired(&mut state, now);
         if !state.queue.push(message, now, &self.context.settings) {
             self.context.counters.queue_full.add(1);
             return Err(LinkError::queue_full(&self.name));
@@ -156,11 +156,11 @@
         Ok(())
     }
 
-    /// Takes no more messages, drops those that wait and returns the sequence
-    /// number of the last frame.
-    pub(crate) fn retire(&self) -> u64 {
+    /// Rejects further messages, drops the queued ones and returns the sequence
+    /// number of the last frame sent.
+    pub(crate) fn mark_removed(&self) -> u64 {
         let mut state = lock(&self.state);
-        state.retired = true;
+        state.removed = true;
         let count = state.queue.clear();
         self.context.counters.removed.add(count);
         state.sequence
@@ -168,8 +168,8 @@
 
     /// Closes the connection.
     pub(crate) fn close(&self) {
-        if let Some(carrier) = lock(&self.state).carrier.take() {
-            carrier.abort();
+        if let Some(task) = lock(&self.state).sender_task.take() {
+            task.abort();
         }
     }
 
@@ -183,34 +183,34 @@
         Err(LinkError::not_run(kind))
     }
 
-    fn start_carrier(self: &Arc<Self>, address: SocketAddr) -> AbortHandle {
-        let carrier = Arc::clone(self).carry(address);
-        self.context.handle.spawn(carrier).abort_handle()
+    fn start_sender_task(self: &Arc<Self>, address: SocketAddr) -> AbortHandle {
+        let task = Arc::clone(self).run(address);
+        self.context.handle.spawn(task).abort_handle()
     }
 
     /// Dials and sends until it is aborted.
-    async fn carry(self: Arc<Self>, address: SocketAddr) {
+    async fn run(self: Arc<Self>, address: SocketAddr) {
         let settings = &self.context.settings;
-        let pause_min = Duration::from_millis(settings.reconnect_min_ms);
-        let pause_max = Duration::from_millis(settings.reconnect_max_ms);
-        let mut pause = pause_min;
+        let delay_min = Duration::from_millis(settings.reconnect_min_ms);
+        let delay_max = Duration::from_millis(settings.reconnect_max_ms);
+        let mut delay = delay_min;
         loop {
             if let Some((read, writer)) = self.dial(address).await {
-                pause = pause_min;
-                self.connected(true);
+                delay = delay_min;
+                self.record_connected(true);
                 self.send_batches(read, writer).await;
-                self.connected(false);
+                self.record_connected(false);
             }
-            self.drop_late(&mut lock(&self.state), Instant::now());
-            tokio::time::sleep(pause).await;
-            pause = pause_max.min(pause * 2);
+            self.drop_expired(&mut lock(&self.state), Instant::now());
+            tokio::time::sleep(delay).await;
+            delay = delay_max.min(delay * 2);
         }
     }
 
-    /// Connects and awaits the greeting.
+    /// Connects and waits for the greeting.
     async fn dial(&self, address: SocketAddr) -> Option<(OwnedReadHalf, Writer)> {
         let limit = Duration::from_millis(self.context.settings.dial_timeout_ms);
-        let greeted = async {
+        let handshake = async {
             let stream = TcpStream::connect(address).await.ok()?;
             stream.set_nodelay(true).ok()?;
             let (mut read, write) = stream.into_split();
@@ -218,26 +218,26 @@
             read.read_exact(&mut greeting).await.ok()?;
             (greeting == *GREETING).then_some((read, write))
         };
-        let Ok(greeted) = timeout(limit, greeted).await else {
+        let Ok(connected) = timeout(limit, handshake).await else {
             self.context.counters.redials.add(1);
             return None;
         };
-        let (read, write) = greeted?;
+        let (read, write) = connected?;
         Some((read, FramedWrite::new(write, codec(&self.context.settings))))
     }
 
-    fn connected(&self, connected: bool) {
+    fn record_connected(&self, connected: bool) {
         let counters = &self.context.counters;
         match connected {
             true => counters.connects.add(1),
             false => counters.disconnects.add(1),
         }
-        slog::info!(self.context.log, "link"; "peer" => &self.name, "connected" => connected);
+        slog::info!(self.context.log, "connection to peer changed"; "peer" => &self.name, "connected" => connected);
     }
 
-    /// Sends what waits until the connection ends or takes nothing more.
+    /// Sends queued messages until the connection is closed or a write fails.
     async fn send_batches(&self, mut read: OwnedReadHalf, mut writer: Writer) {
-        let mut nothing = [0; 1];
+        let mut unused = [0; 1];
         loop {
             if let Some(frame) = self.next_frame() {
                 if !self.send_frame(&mut writer, frame).await {
@@ -245,47 +245,48 @@
                 }
                 continue;
             }
-            // The other side never sends: whatever comes is the end.
+            // The peer sends nothing after the greeting, so that a completed read
+            // means that the connection is closed or unusable.
             tokio::select! {
                 () = self.queued.notified() => {}
-                _ = read.read(&mut nothing) => return,
+                _ = read.read(&mut unused) => return,
             }
         }
     }
 
-    fn next_frame(&self) -> Option<Outgoing> {
+    fn next_frame(&self) -> Option<OutgoingFrame> {
         let settings = &self.context.settings;
         let mut state = lock(&self.state);
         let now = Instant::now();
-        self.drop_late(&mut state, now);
+        self.drop_expired(&mut state, now);
         let batch = state.queue.take_batch(now, settings)?;
         state.sequence += 1;
-        let late = Duration::from_millis(settings.queue_timeout_ms);
-        let left = late.saturating_sub(now.duration_since(batch.oldest));
+        let queue_timeout = Duration::from_millis(settings.queue_timeout_ms);
+        let remaining = queue_timeout.saturating_sub(now.duration_since(batch.oldest));
         let messages = batch.messages.len();
         let frame = Frame {
             from: Some(settings.local_instance.clone()),
             sequence: state.sequence,
             messages: batch.messages,
         };
-        Some(Outgoing {
+        Some(OutgoingFrame {
             bytes: frame.encode_to_vec().into(),
             messages,
-            limit: left.max(SEND_TIMEOUT_MIN),
+            timeout: remaining.max(SEND_TIMEOUT_MIN),
         })
     }
 
-    /// Whether the connection took the frame.
-    async fn send_frame(&self, writer: &mut Writer, frame: Outgoing) -> bool {
+    /// Writes a frame; returns whether it was written in time.
+    async fn send_frame(&self, writer: &mut Writer, frame: OutgoingFrame) -> bool {
         let counters = &self.context.counters;
-        // Counted first: a receiver that has the frame finds it counted.
+        // Counted before the write, so that the receiver sees it counted.
         counters.frames_out.add(1);
         counters.bytes_out.add(frame.bytes.len());
         let in_flight = InFlight {
             messages: frame.messages,
             lost: &counters.lost,
         };
-        match timeout(frame.limit, writer.send(frame.bytes)).await {
+        match timeout(frame.timeout, writer.send(frame.bytes)).await {
             Ok(Ok(())) => {
                 counters.messages_out.add(in_flight.settled());
                 true
@@ -299,8 +300,8 @@
         }
     }
 
-    fn drop_late(&self, state: &mut State, now: Instant) {
-        let count = state.queue.drop_late(now, &self.context.settings);
+    fn drop_expired(&self, state: &mut State, now: Instant) {
+        let count = state.queue.drop_expired(now, &self.context.settings);
         self.context.counters.late.add(count);
     }
 }
--- a/src/links/probe.rs
+++ b/src/links/probe.rs
@@ -1,4 +1,4 @@
-//! Whether anything listens at a peer's address.
+//! Checks whether a process listens at a peer's address.
 
 use std::io::ErrorKind;
 use std::net::SocketAddr;
@@ -7,22 +7,22 @@
 use tokio::net::TcpStream;
 use tokio::time;
 
-/// What a connection attempt showed.
+/// Result of a connection attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Probe {
-    /// A process (or its kernel, while it is frozen) took the connection.
-    Accepts,
-    /// The host answered that nothing listens there: the process is gone.
+pub enum ProbeResult {
+    /// The connection was accepted; the process exists, but may be frozen.
+    Accepted,
+    /// The host refused the connection: no process listens on the address.
     Refused,
-    /// No answer, or an error on the way; says nothing about the process.
-    Silent,
+    /// No answer within the timeout, or another error; the process may exist.
+    Inconclusive,
 }
 
-/// Connects to `address` and closes at once; waits at most `timeout`.
-pub async fn probe(address: SocketAddr, timeout: Duration) -> Probe {
+/// Connects to `address` and closes the connection; waits for at most `timeout`.
+pub async fn probe(address: SocketAddr, timeout: Duration) -> ProbeResult {
     match time::timeout(timeout, TcpStream::connect(address)).await {
-        Ok(Ok(_)) => Probe::Accepts,
-        Ok(Err(error)) if error.kind() == ErrorKind::ConnectionRefused => Probe::Refused,
-        _ => Probe::Silent,
+        Ok(Ok(_)) => ProbeResult::Accepted,
+        Ok(Err(error)) if error.kind() == ErrorKind::ConnectionRefused => ProbeResult::Refused,
+        _ => ProbeResult::Inconclusive,
     }
 }
--- a/src/links/settings.rs
+++ b/src/links/settings.rs
@@ -1,35 +1,35 @@
-//! Bounds of the links.
+//! Settings of the links.
 
 use std::net::{Ipv4Addr, SocketAddr};
 
 use trefoil_schema::peer::InstanceRef;
 
-/// Who this instance is, where it listens, and what its links may use.
+/// Identity, listen address and limits of an instance's links.
 #[derive(Clone, Debug)]
 pub struct LinkSettings {
-    /// This instance, with the number of its start.
+    /// This instance and its incarnation.
     pub local_instance: InstanceRef,
-    /// Where peers dial.
+    /// Address to listen on for peers.
     pub listen: SocketAddr,
-    /// A frame takes no further message once it holds this many bytes.
+    /// Maximum size of a batch, in bytes; a frame with a single message may be larger.
     pub frame_bytes_max: usize,
-    /// Largest single message, in bytes.
+    /// Maximum size of a message, in bytes.
     pub message_bytes_max: usize,
-    /// Bytes that may wait for one peer.
+    /// Maximum size of a peer's send queue, in bytes.
     pub queue_bytes_max: usize,
-    /// Messages that may wait for one peer.
+    /// Maximum number of messages in a peer's send queue.
     pub queue_messages_max: usize,
-    /// A message that has waited this long is dropped, in milliseconds.
+    /// Time after which a queued message is dropped, in milliseconds.
     pub queue_timeout_ms: u64,
-    /// Messages that may wait for this instance's own reader.
+    /// Maximum number of received messages that wait to be read.
     pub inbox_capacity: usize,
-    /// Senders remembered; frames of further ones are dropped.
+    /// Maximum number of known senders; frames of further senders are dropped.
     pub senders_max: usize,
-    /// Shortest wait between two dials of a peer, in milliseconds.
+    /// Minimum delay before a reconnect, in milliseconds.
     pub reconnect_min_ms: u64,
-    /// Longest wait between two dials of a peer, in milliseconds.
+    /// Maximum delay before a reconnect, in milliseconds.
     pub reconnect_max_ms: u64,
-    /// A dial without an answer is begun anew after this time, in milliseconds.
+    /// Time limit for connecting and receiving the greeting, in milliseconds.
     pub dial_timeout_ms: u64,
 }
 
@@ -52,11 +52,11 @@
     }
 }
 
-/// Room for a frame's own fields beside its messages, in bytes.
+/// Allowance for the fields of a frame other than its messages, in bytes.
 const FRAME_OVERHEAD_BYTES: usize = 4 << 10;
 
 impl LinkSettings {
-    /// Largest frame a peer may send, in bytes.
+    /// Maximum size of a received frame, in bytes.
     pub(crate) fn receive_bytes_max(&self) -> usize {
         self.frame_bytes_max + self.message_bytes_max + FRAME_OVERHEAD_BYTES
     }
--- a/src/links/stats.rs
+++ b/src/links/stats.rs
@@ -1,62 +1,63 @@
-//! Counters of the links.
+//! Link counters.
 
 use std::sync::atomic::{AtomicU64, Ordering::Relaxed};
 
-/// Counters since the start, as read at one moment.
+/// Snapshot of the counters since the start.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct LinkStats {
-    /// Frames offered to connections, with those that timed out or were lost.
+    /// Frames written to connections, including those that timed out or were lost.
     pub frames_out: u64,
-    /// Bytes of those frames.
+    /// Bytes of the frames in `frames_out`.
     pub bytes_out: u64,
-    /// Messages in those frames.
+    /// Messages in frames that were written completely.
     pub messages_out: u64,
-    /// Frames received, good or not.
+    /// Frames received, including dropped ones.
     pub frames_in: u64,
-    /// Bytes of those frames.
+    /// Bytes of the frames in `frames_in`.
     pub bytes_in: u64,
     /// Messages delivered.
     pub messages_in: u64,
-    /// Frames missing between two received ones.
+    /// Frames missing between received ones.
     pub gaps: u64,
-    /// Connections to peers that came up.
+    /// Connections opened to peers.
     pub connects: u64,
-    /// Connections lost, either way; an oversized frame costs its sender one.
+    /// Connections closed, in either direction; a connection is also closed when an
+    /// oversized frame is received on it.
     pub disconnects: u64,
-    /// Dials and connections given up after no progress.
+    /// Connection attempts and writes that timed out.
     pub redials: u64,
-    /// What was dropped, by reason.
+    /// Dropped frames and messages, by reason.
     pub dropped: DropStats,
 }
 
-/// What was dropped, by reason.
+/// Dropped frames and messages, by the `reason` label of the metric.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct DropStats {
-    /// Messages that waited too long for their peer.
+    /// Messages dropped because they were queued, or their write took, too long.
     pub late: u64,
-    /// Messages refused because the peer's queue was full.
+    /// Messages rejected because the peer's queue was full.
     pub queue_full: u64,
-    /// Messages that waited for a peer that was removed.
+    /// Messages queued for a peer that was removed.
     pub removed: u64,
-    /// Messages in a frame that its connection lost before taking it.
+    /// Messages in frames whose connection was closed during the write.
     pub lost: u64,
-    /// Received frames that are no frames.
+    /// Malformed frames.
     pub rubbish: u64,
-    /// Received frames seen before, or overtaken by later ones.
+    /// Frames received before, or older than a received one.
     pub doubled: u64,
-    /// Received frames of an incarnation that a newer one has replaced.
+    /// Frames from an older incarnation of the sender than a received one.
     pub stale: u64,
-    /// Received frames of more senders than are remembered.
+    /// Frames from senders beyond `senders_max`.
     pub senders: u64,
-    /// Received messages without a body that this version knows.
+    /// Received messages whose body this version does not know.
     pub unknown: u64,
-    /// Received messages that found this instance's reader too far behind.
+    /// Received messages dropped because the inbox was full.
     pub inbox_full: u64,
 }
 
 macro_rules! counters {
     ($($field:ident),*; $($dropped:ident),*) => {
-        /// The counters as they are kept.
+        /// Atomic counters behind [`LinkStats`].
         #[derive(Default)]
         pub(crate) struct Counters {
             $(pub(crate) $field: Counter,)*
@@ -64,7 +65,6 @@
         }
 
         impl Counters {
-            /// Reads all counters.
             pub(crate) fn read(&self) -> LinkStats {
                 LinkStats {
                     $($field: self.$field.get(),)*
@@ -81,7 +81,6 @@
     late, queue_full, removed, lost, rubbish, doubled, stale, senders, unknown, inbox_full
 );
 
-/// One counter; it wraps never in practice.
 #[derive(Default)]
 pub(crate) struct Counter(AtomicU64);
 
--- a/src/peers/driver.rs
+++ b/src/peers/driver.rs
@@ -13,7 +13,7 @@
 use trefoil_schema::peer::message::Body;
 
 use super::{Peers, record};
-use crate::links::{Probe, probe};
+use crate::links::{ProbeResult, probe};
 use crate::sources::instances::PlatformInstance;
 use crate::sources::platform::{CasResult, StoreError};
 
@@ -110,7 +110,7 @@
             };
             let peers = Arc::clone(self);
             tokio::spawn(async move {
-                if probe(address, PROBE_TIMEOUT).await == Probe::Refused {
+                if probe(address, PROBE_TIMEOUT).await == ProbeResult::Refused {
                     peers.handle(Event::ConnectionRefused(peer.member));
                 }
             });
--- a/tests/testsuite/links.rs
+++ b/tests/testsuite/links.rs
@@ -1,4 +1,5 @@
-//! Links between instances: delivery, batches, rubbish, restarts, dead peers.
+//! Links between instances: delivery, batching, malformed frames, restarts and
+//! unresponsive peers.
 
 use std::net::{Ipv4Addr, SocketAddr, TcpListener};
 use std::sync::atomic::{AtomicU8, Ordering::Relaxed};
@@ -15,19 +16,19 @@
 use trefoil_core::verdict::Verdict;
 use trefoil_schema::peer::{CancelJob, ForwardJob, Frame, InstanceRef, Message, message::Body};
 use trefoilbay::links::{
-    GREETING, Incoming, LinkErrorKind, LinkSettings, LinkStats, Links, Probe, probe,
+    GREETING, Incoming, LinkErrorKind, LinkSettings, LinkStats, Links, ProbeResult, probe,
 };
 
-/// No test waits longer than this for what must come.
-const SOON: Duration = Duration::from_secs(10);
+/// Limit of each wait for an expected event.
+const WAIT_LIMIT: Duration = Duration::from_secs(10);
 
-/// An address of 127.0.0.0/8 that no other test or process of these uses, so
-/// that no outgoing connection can have taken its port meanwhile.
+/// A loopback address that no other test uses. Otherwise an outgoing connection
+/// could take the port before it is listened on.
 fn free_address() -> SocketAddr {
     static USED: AtomicU8 = AtomicU8::new(1);
     let [_, _, high, low] = std::process::id().to_be_bytes();
-    let own = Ipv4Addr::new(127, high | 0x80, low, USED.fetch_add(1, Relaxed));
-    let listener = TcpListener::bind((own, 0)).unwrap();
+    let ip = Ipv4Addr::new(127, high | 0x80, low, USED.fetch_add(1, Relaxed));
+    let listener = TcpListener::bind((ip, 0)).unwrap();
     listener.local_addr().unwrap()
 }
 
@@ -57,18 +58,22 @@
 fn request_id(incoming: &Incoming) -> u64 {
     match &incoming.message {
         Body::CancelJob(cancel) => cancel.request_id,
-        other => panic!("not sent by these tests: {other:?}"),
+        other => panic!("unexpected message: {other:?}"),
     }
 }
 
 async fn next(receiver: &mut Receiver<Incoming>) -> Incoming {
-    timeout(SOON, receiver.recv()).await.unwrap().unwrap()
+    timeout(WAIT_LIMIT, receiver.recv()).await.unwrap().unwrap()
 }
 
 async fn wait_for(links: &Links, reached: impl Fn(&LinkStats) -> bool) -> LinkStats {
-    let begun = Instant::now();
+    let started = Instant::now();
     while !reached(&links.stats()) {
-        assert!(begun.elapsed() < SOON, "not reached: {:?}", links.stats());
+        assert!(
+            started.elapsed() < WAIT_LIMIT,
+            "timed out: {:?}",
+            links.stats()
+        );
         tokio::time::sleep(Duration::from_millis(2)).await;
     }
     links.stats()
@@ -86,10 +91,10 @@
     frame.encode_to_vec()
 }
 
-/// A connection that sends frames as they are given.
-struct RawPush(Framed<TcpStream, LengthDelimitedCodec>);
+/// A connection that sends frames unchanged, also invalid ones.
+struct RawConnection(Framed<TcpStream, LengthDelimitedCodec>);
 
-impl RawPush {
+impl RawConnection {
     async fn dial(address: SocketAddr) -> Self {
         let mut stream = TcpStream::connect(address).await.unwrap();
         let mut greeting = [0; GREETING.len()];
@@ -104,13 +109,13 @@
 }
 
 #[tokio::test]
-async fn delivers_both_ways_in_order_in_few_frames() {
+async fn messages_are_delivered_in_order_and_batched() {
     const COUNT: u64 = 2_000;
     let (a_settings, b_settings) = (settings("a", 1), settings("b", 1));
     let (a, mut at_a) = start(&a_settings);
     a.set_peer("b", b_settings.listen);
-    // Nobody listens yet, so that all but the first gather, however fast the
-    // machine is.
+    // "b" does not listen yet, so that the messages are batched regardless of the
+    // speed of the machine.
     for id in 0..COUNT {
         a.send("b", cancel(id)).unwrap();
     }
@@ -128,12 +133,12 @@
     let stats = b.stats();
     assert_eq!(stats.messages_in, COUNT);
     assert_eq!(stats.gaps, 0);
-    assert!(stats.frames_in < COUNT / 100, "no batches: {stats:?}");
+    assert!(stats.frames_in < COUNT / 100, "not batched: {stats:?}");
     assert_eq!(stats.dropped, LinkStats::default().dropped);
 }
 
 #[tokio::test]
-async fn an_idle_link_sends_at_once() {
+async fn an_idle_link_sends_without_delay() {
     let b_settings = settings("b", 1);
     let (a, _at_a) = start(&settings("a", 1));
     let (_b, mut at_b) = start(&b_settings);
@@ -146,44 +151,44 @@
 }
 
 #[tokio::test]
-async fn rubbish_is_counted_and_never_delivered() {
+async fn malformed_frames_are_counted_and_not_delivered() {
     let b_settings = LinkSettings {
         frame_bytes_max: 1 << 10,
         message_bytes_max: 1 << 10,
         ..settings("b", 1)
     };
     let (b, mut at_b) = start(&b_settings);
-    let mut push = RawPush::dial(b_settings.listen).await;
+    let mut connection = RawConnection::dial(b_settings.listen).await;
     let whole = frame("a", 1, 1, 7);
-    push.send(&b"\xff\xff\xff\xffnot a frame"[..]).await;
-    push.send(&whole[..whole.len() - 3]).await;
-    push.send(&frame("", 1, 1, 7)[..]).await;
-    push.send(&frame("a", 1, 0, 7)[..]).await;
-    push.send(&b""[..]).await;
+    connection.send(&b"\xff\xff\xff\xffnot a frame"[..]).await;
+    connection.send(&whole[..whole.len() - 3]).await;
+    connection.send(&frame("", 1, 1, 7)[..]).await;
+    connection.send(&frame("a", 1, 0, 7)[..]).await;
+    connection.send(&b""[..]).await;
     let stats = wait_for(&b, |stats| stats.frames_in == 5).await;
     wait_for(&b, |stats| stats.dropped.rubbish == 5).await;
     assert_eq!(stats.messages_in, 0);
-    push.send(&vec![0; 64 << 10][..]).await;
+    connection.send(&vec![0; 64 << 10][..]).await;
     wait_for(&b, |stats| stats.disconnects == 1).await;
     let mut raw = TcpStream::connect(b_settings.listen).await.unwrap();
     let _ = raw.write_all(b"GET / HTTP/1.1\r\nhost: b\r\n\r\n").await;
-    let mut cut = TcpStream::connect(b_settings.listen).await.unwrap();
-    let _ = cut.write_all(b"\0\0\0\x40half").await;
-    drop(cut);
-    // Kept open: a socket that closes may drop what it has just taken.
-    let mut push = RawPush::dial(b_settings.listen).await;
-    push.send(&whole[..]).await;
+    let mut truncated = TcpStream::connect(b_settings.listen).await.unwrap();
+    let _ = truncated.write_all(b"\0\0\0\x40half").await;
+    drop(truncated);
+    // Kept open, as closing the socket could discard data that was just sent.
+    let mut connection = RawConnection::dial(b_settings.listen).await;
+    connection.send(&whole[..]).await;
     assert_eq!(request_id(&next(&mut at_b).await), 7);
     assert_eq!(b.stats().messages_in, 1);
     assert_eq!(b.stats().frames_in, 6);
 }
 
 #[tokio::test]
-async fn doubled_and_stale_frames_are_dropped_and_gaps_counted() {
+async fn duplicate_and_stale_frames_are_dropped_and_gaps_counted() {
     let b_settings = settings("b", 1);
     let (b, mut at_b) = start(&b_settings);
-    let mut push = RawPush::dial(b_settings.listen).await;
-    // Incarnation, sequence and message id; the same connection keeps order.
+    let mut connection = RawConnection::dial(b_settings.listen).await;
+    // Incarnation, sequence number and request ID.
     let frames = [
         (5, 1, 1),
         (5, 1, 1),
@@ -195,13 +200,15 @@
         (6, 2, 12),
     ];
     for (incarnation, sequence, id) in frames {
-        push.send(&frame("a", incarnation, sequence, id)[..]).await;
+        connection
+            .send(&frame("a", incarnation, sequence, id)[..])
+            .await;
     }
-    let mut got = Vec::new();
+    let mut received = Vec::new();
     for _ in 0..4 {
-        got.push(request_id(&next(&mut at_b).await));
+        received.push(request_id(&next(&mut at_b).await));
     }
-    assert_eq!(got, [1, 4, 11, 12]);
+    assert_eq!(received, [1, 4, 11, 12]);
     let stats = wait_for(&b, |stats| stats.frames_in == 8).await;
     assert_eq!(stats.dropped.doubled, 3);
     assert_eq!(stats.dropped.stale, 1);
@@ -210,7 +217,7 @@
 }
 
 #[tokio::test]
-async fn a_restarted_peer_is_heard_and_reached_again() {
+async fn messages_are_exchanged_again_after_a_peer_restarts() {
     let b_settings = settings("b", 1);
     let a_settings = settings("a", 1);
     let (b, mut at_b) = start(&b_settings);
@@ -233,7 +240,7 @@
 }
 
 #[tokio::test]
-async fn a_changed_address_is_dialled_and_takes_what_waits() {
+async fn queued_messages_are_sent_to_a_changed_address() {
     let b_settings = settings("b", 1);
     let (a, _at_a) = start(&settings("a", 1));
     let (_b, mut at_b) = start(&b_settings);
@@ -245,43 +252,44 @@
     let error = a.send("b", cancel(2)).unwrap_err();
     assert_eq!(error.verdict, Verdict::NotRun);
     assert!(matches!(error.kind, LinkErrorKind::UnknownPeer { .. }));
-    // Sequence numbers go on, so the receiver takes no frame for a doubled one.
+    // Sequence numbers continue, or the receiver would drop the frame as a
+    // duplicate.
     a.set_peer("b", b_settings.listen);
     a.send("b", cancel(3)).unwrap();
     assert_eq!(request_id(&next(&mut at_b).await), 3);
 }
 
 #[tokio::test]
-async fn a_dead_peer_blocks_no_other_and_its_queue_is_bounded() {
-    const BOUND: usize = 100;
+async fn the_queue_of_a_dead_peer_is_limited_and_blocks_no_other_peer() {
+    const LIMIT: usize = 100;
     let b_settings = settings("b", 1);
     let (a, _at_a) = start(&LinkSettings {
-        queue_messages_max: BOUND,
+        queue_messages_max: LIMIT,
         ..settings("a", 1)
     });
     let (_b, mut at_b) = start(&b_settings);
     a.set_peer("b", b_settings.listen);
-    // Bound and not listening, so that no other test can get the port.
+    // Bound without listening, so that no other test gets the port.
     let dead = TcpSocket::new_v4().unwrap();
     dead.bind((Ipv4Addr::LOCALHOST, 0).into()).unwrap();
     a.set_peer("dead", dead.local_addr().unwrap());
-    let mut refused = 0;
+    let mut rejected = 0;
     for id in 0..1_000 {
         if let Err(error) = a.send("dead", cancel(id)) {
             assert_eq!(error.verdict, Verdict::NotRun);
             assert!(matches!(error.kind, LinkErrorKind::QueueFull { .. }));
-            refused += 1;
+            rejected += 1;
         }
     }
-    assert_eq!(refused, 1_000 - BOUND);
+    assert_eq!(rejected, 1_000 - LIMIT);
     a.send("b", cancel(7)).unwrap();
     assert_eq!(request_id(&next(&mut at_b).await), 7);
     assert_eq!(a.stats().dropped.queue_full, 900);
 }
 
 #[tokio::test]
-async fn a_peer_that_takes_nothing_costs_bounded_memory_and_time() {
-    // Accepts connections in the kernel alone and never answers.
+async fn messages_to_a_frozen_peer_expire() {
+    // Only the kernel accepts connections; the greeting is never sent.
     let frozen = TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).unwrap();
     let (a, _at_a) = start(&LinkSettings {
         queue_timeout_ms: 20,
@@ -298,46 +306,50 @@
 }
 
 #[tokio::test]
-async fn a_connected_peer_that_reads_nothing_is_bounded_and_dialled_anew() {
+async fn a_connected_peer_that_does_not_read_is_redialed() {
     const MESSAGE_BYTES: usize = 1 << 20;
-    const BOUND: usize = 4;
+    const LIMIT: usize = 4;
     let address = free_address();
     let unread = tokio::net::TcpListener::bind(address).await.unwrap();
     tokio::spawn(async move {
-        let mut kept = Vec::new();
+        let mut open = Vec::new();
         while let Ok((mut stream, _)) = unread.accept().await {
             stream.write_all(GREETING).await.unwrap();
-            kept.push(stream);
+            open.push(stream);
         }
     });
     let (a, _at_a) = start(&LinkSettings {
         queue_timeout_ms: 100,
         dial_timeout_ms: 60,
-        queue_bytes_max: BOUND * MESSAGE_BYTES + (1 << 10),
+        queue_bytes_max: LIMIT * MESSAGE_BYTES + (1 << 10),
         ..settings("a", 1)
     });
     a.set_peer("unread", address);
-    let begun = Instant::now();
-    let mut full = 0;
+    let started = Instant::now();
+    let mut queue_full = 0;
     while a.stats().redials == 0 {
-        assert!(begun.elapsed() < SOON, "not dialled anew: {:?}", a.stats());
+        assert!(
+            started.elapsed() < WAIT_LIMIT,
+            "not redialed: {:?}",
+            a.stats()
+        );
         let key = "k".repeat(MESSAGE_BYTES);
         let cancel = CancelJob { request_id: 1, key };
-        full += usize::from(a.send("unread", Body::CancelJob(cancel)).is_err());
+        queue_full += usize::from(a.send("unread", Body::CancelJob(cancel)).is_err());
         tokio::time::sleep(Duration::from_millis(1)).await;
     }
     let stats = a.stats();
-    assert!(full > 0, "the queue was never full: {stats:?}");
-    assert_eq!(stats.dropped.queue_full, full as u64);
-    assert!(stats.dropped.late > 0, "nothing was late: {stats:?}");
+    assert!(queue_full > 0, "the queue was never full: {stats:?}");
+    assert_eq!(stats.dropped.queue_full, queue_full as u64);
+    assert!(stats.dropped.late > 0, "no message expired: {stats:?}");
 }
 
 #[tokio::test]
-async fn late_messages_are_dropped_and_the_time_left_is_brought_up_to_date() {
+async fn queued_messages_expire_and_their_timeouts_are_reduced() {
     let b_settings = settings("b", 1);
     let (a, _at_a) = start(&LinkSettings {
         queue_timeout_ms: 300,
-        // Dials within the time that the second message may wait.
+        // Redials before the second message expires.
         reconnect_max_ms: 20,
         dial_timeout_ms: 60_000,
         ..settings("a", 1)
@@ -354,13 +366,13 @@
     tokio::time::sleep(Duration::from_millis(20)).await;
     let (_b, mut at_b) = start(&b_settings);
     let Body::ForwardJob(job) = next(&mut at_b).await.message else {
-        panic!("the late message was delivered");
+        panic!("the expired message was delivered");
     };
     assert!((700..=980).contains(&job.timeout_ms), "{}", job.timeout_ms);
 }
 
 #[tokio::test]
-async fn a_message_over_the_bound_is_refused() {
+async fn a_message_over_the_size_limit_is_rejected() {
     let (a, _at_a) = start(&LinkSettings {
         message_bytes_max: 64,
         ..settings("a", 1)
@@ -375,25 +387,34 @@
 }
 
 #[tokio::test]
-async fn the_probe_tells_refused_from_accepting() {
+async fn the_probe_distinguishes_accepted_from_refused() {
     let b_settings = settings("b", 1);
     let (b, _at_b) = start(&b_settings);
-    assert_eq!(probe(b_settings.listen, SOON).await, Probe::Accepts);
+    assert_eq!(
+        probe(b_settings.listen, WAIT_LIMIT).await,
+        ProbeResult::Accepted
+    );
     drop(b);
-    assert_eq!(probe(b_settings.listen, SOON).await, Probe::Refused);
+    assert_eq!(
+        probe(b_settings.listen, WAIT_LIMIT).await,
+        ProbeResult::Refused
+    );
 }
 
 #[tokio::test]
-async fn what_a_link_sends_is_a_plain_frame() {
+async fn a_link_sends_plain_length_delimited_frames() {
     let address = free_address();
-    let pull = tokio::net::TcpListener::bind(address).await.unwrap();
+    let listener = tokio::net::TcpListener::bind(address).await.unwrap();
     let (a, _at_a) = start(&settings("a", 9));
     a.set_peer("b", address);
     a.send("b", cancel(4)).unwrap();
-    let (mut stream, _) = timeout(SOON, pull.accept()).await.unwrap().unwrap();
+    let (mut stream, _) = timeout(WAIT_LIMIT, listener.accept())
+        .await
+        .unwrap()
+        .unwrap();
     stream.write_all(GREETING).await.unwrap();
     let mut frames = Framed::new(stream, LengthDelimitedCodec::new());
-    let bytes = timeout(SOON, frames.next()).await.unwrap().unwrap();
+    let bytes = timeout(WAIT_LIMIT, frames.next()).await.unwrap().unwrap();
     let bytes = bytes.unwrap();
     assert_eq!(&bytes[..], &frame("a", 9, 1, 4)[..]);
 }
