--- a/crates/core/src/config.rs
+++ b/crates/core/src/config.rs
@@ -1,10 +1,10 @@
-//! The configuration in force: resources in the order of the store.
+//! The declared resources as of one store revision.
 //!
-//! * [`change`]: one change of one resource, and how its key is written.
-//! * [`log`]: applies changes in revision order and keeps the newest for peers.
-//! * [`check`]: finds every wrong field of a declaration.
-//! * [`settle`]: what became of a write whose answer was lost.
-//! * [`condition`]: what is known of a resource that is in force.
+//! * [`change`]: one change of one resource, and the format of its key.
+//! * [`log`]: applies changes in revision order and keeps recent ones for peers.
+//! * [`validation`]: validates declarations.
+//! * [`write_outcome`]: determines the outcome of a write whose response was lost.
+//! * [`status`]: the status of a declared resource.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -12,24 +12,23 @@
 use trefoil_schema::resources::{BackendServerSpec, ServiceSpec, TeamSpec};
 
 pub mod change;
-pub mod check;
-pub mod condition;
 pub mod log;
-pub mod settle;
+pub mod status;
+pub mod validation;
+pub mod write_outcome;
 
 pub use change::{Change, ResourceKey};
 pub use log::{ConfigLog, StoredValue};
 
-/// A resource's declaration and the store revision that accepted it.
+/// A resource's declaration and the store revision that created or changed it.
 #[derive(Clone, Debug, PartialEq)]
+#[expect(missing_docs, reason = "fields explain themselves")]
 pub struct Declared<T> {
-    /// What the operator declared.
     pub spec: T,
-    /// Store revision of the declaration.
     pub revision: u64,
 }
 
-/// Everything declared, as of one store revision.
+/// All declared resources as of one store revision.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct ConfigSnapshot {
     /// Highest store revision applied.
--- a/crates/core/src/config/change.rs
+++ b/crates/core/src/config/change.rs
@@ -1,28 +1,28 @@
-//! One change of one resource.
+//! Changes of declared resources, and the keys of resources.
 
 use bytes::Bytes;
 use derive_more::Display;
 use trefoil_schema::peer;
 use trefoil_schema::resources::Kind;
 
-/// Names a resource: `KIND/NAME`.
+/// Key of a resource; its text form is `KIND/NAME`.
 #[derive(Clone, Debug, Display, PartialEq, Eq, Hash, PartialOrd, Ord)]
 #[display("{kind}/{name}")]
 pub struct ResourceKey {
     /// Kind of the resource.
     pub kind: Kind,
-    /// Its name, unique within the kind.
+    /// Name, unique within the kind.
     pub name: String,
 }
 
 impl ResourceKey {
-    /// Names the resource `name` of `kind`.
+    /// Creates a key.
     pub fn new(kind: Kind, name: impl Into<String>) -> Self {
         let name = name.into();
         Self { kind, name }
     }
 
-    /// Reads `KIND/NAME`; `None` where the text has another form.
+    /// Parses `KIND/NAME`; `None` if the text has another form or the kind is unknown.
     pub fn parse(text: &str) -> Option<Self> {
         let (kind, name) = text.split_once('/')?;
         let kind = kind.parse().ok()?;
@@ -30,10 +30,10 @@
     }
 }
 
-/// A resource was declared, changed or removed.
+/// The creation, update or removal of a declaration.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Change {
-    /// The resource.
+    /// Key of the changed resource.
     pub key: ResourceKey,
     /// JSON text of the declaration; `None` for a removal.
     pub value: Option<Bytes>,
@@ -42,7 +42,7 @@
 }
 
 impl Change {
-    /// The change as it is sent to peers.
+    /// Converts the change to its wire message; a removal has an empty value.
     pub fn to_message(&self) -> peer::ConfigChange {
         peer::ConfigChange {
             key: self.key.to_string(),
@@ -51,7 +51,7 @@
         }
     }
 
-    /// Reads a change from a peer; `None` where its key names no resource.
+    /// Converts a wire message; `None` if its key is not a resource key.
     pub fn from_message(message: &peer::ConfigChange) -> Option<Self> {
         let value = Some(message.value.clone()).filter(|value| !value.is_empty());
         Some(Self {
--- a/crates/core/src/config/log.rs
+++ b/crates/core/src/config/log.rs
@@ -1,12 +1,12 @@
-//! Applies changes in the order of the store and keeps the newest for peers.
+//! Applies changes in store revision order and keeps recent ones for peers.
 //!
-//! The revision never goes backwards: a change, delta or full list that ends
-//! at or before the revision in force is ignored. Instances fed by the store
-//! and instances fed by peers therefore pass through the same declarations.
+//! The revision is monotonic: a delta or full list that ends at or before the
+//! current revision is ignored. Instances that read from the store and those
+//! that read from peers therefore pass through the same states.
 //!
-//! A stored value that cannot be read leaves the resource's earlier
-//! declaration in force and is counted; its text is kept and passed on, so
-//! that a peer that can read it does.
+//! A stored value that cannot be parsed is counted and leaves the resource's
+//! previous declaration in force. Its text is kept and forwarded, because a peer
+//! with another version may be able to parse it.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::sync::Arc;
@@ -19,11 +19,11 @@
 use super::change::{Change, ResourceKey};
 use super::{ConfigSnapshot, Declared};
 
-/// Changes kept for peers that are behind; a peer further behind gets
-/// everything. At 14,000 changes a day, over an hour's worth.
-pub const KEPT_CHANGES_MAX: usize = 1024;
+/// Number of recent changes that are kept; a peer that is further behind is sent
+/// the full configuration.
+pub const HISTORY_MAX: usize = 1024;
 
-/// A resource's text in the store.
+/// A resource's declaration as stored.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct StoredValue {
     /// JSON text of the declaration.
@@ -32,52 +32,52 @@
     pub revision: u64,
 }
 
-/// What became of changes that were handed to a [`ConfigLog`].
+/// Result of applying changes to a [`ConfigLog`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Applied {
-    /// The configuration in force advanced.
+    /// The configuration advanced to a newer revision.
     Advanced,
-    /// Everything in it was in force already.
-    Old,
-    /// It starts after the revision in force; changes in between are missing.
+    /// The changes were already applied.
+    AlreadyApplied,
+    /// The changes start after the current revision; earlier ones are missing.
     Gap {
-        /// The revision to ask changes after.
+        /// Revision after which changes must be requested.
         after_revision: u64,
     },
 }
 
-/// The configuration in force and its newest changes.
+/// The current configuration and its recent changes.
 #[derive(Clone, Debug)]
 pub struct ConfigLog {
     snapshot: Arc<ConfigSnapshot>,
     values: BTreeMap<ResourceKey, StoredValue>,
-    kept: VecDeque<Change>,
-    kept_max: usize,
-    // Changes after this revision are all in `kept`.
-    kept_from_revision: u64,
+    history: VecDeque<Change>,
+    history_max: usize,
+    /// `history` has all changes after this revision.
+    history_from_revision: u64,
     unreadable: u64,
 }
 
 impl Default for ConfigLog {
     fn default() -> Self {
-        Self::new(KEPT_CHANGES_MAX)
+        Self::new(HISTORY_MAX)
     }
 }
 
 impl ConfigLog {
-    /// An empty log that keeps `kept_max` changes for peers.
-    pub fn new(kept_max: usize) -> Self {
+    /// Creates an empty log that keeps up to `history_max` changes for peers.
+    pub fn new(history_max: usize) -> Self {
         Self {
             snapshot: Arc::default(),
             values: BTreeMap::new(),
-            kept: VecDeque::new(),
-            kept_max,
-            kept_from_revision: 0,
+            history: VecDeque::new(),
+            history_max,
+            history_from_revision: 0,
             unreadable: 0,
         }
     }
 
-    /// The configuration in force.
+    /// The current configuration.
     pub fn snapshot(&self) -> Arc<ConfigSnapshot> {
         Arc::clone(&self.snapshot)
     }
@@ -87,46 +87,45 @@
         self.snapshot.revision
     }
 
-    /// Stored values that could not be read, so far.
+    /// Number of stored values so far that could not be parsed.
     pub fn unreadable(&self) -> u64 {
         self.unreadable
     }
 
-    /// Every resource's stored text.
+    /// All stored declarations.
     pub fn values(&self) -> &BTreeMap<ResourceKey, StoredValue> {
         &self.values
     }
 
-    /// Applies changes of the store that lead from `from_revision` to
-    /// `to_revision`, in revision order.
+    /// Applies the changes after `from_revision` up to `to_revision`.
     pub fn apply(&mut self, from_revision: u64, to_revision: u64, changes: &[Change]) -> Applied {
         if to_revision <= self.revision() {
-            return Applied::Old;
+            return Applied::AlreadyApplied;
         }
         if from_revision > self.revision() {
             return Applied::Gap {
                 after_revision: self.revision(),
             };
         }
-        let new = newer(changes, self.revision());
+        let new = newer_than(changes, self.revision());
         self.advance(new, to_revision);
         Applied::Advanced
     }
 
-    /// Takes the whole configuration as of `revision`.
+    /// Replaces the configuration by the full list as of `revision`.
     pub fn replace(&mut self, revision: u64, changes: &[Change]) -> Applied {
         if revision <= self.revision() {
-            return Applied::Old;
+            return Applied::AlreadyApplied;
         }
         let mut new = self.removals(revision, changes);
-        new.extend(newer(changes, self.revision()));
+        new.extend(newer_than(changes, self.revision()));
         new.sort_by_key(|change| change.revision);
         self.advance(new, revision);
-        self.forget_kept();
+        self.clear_history();
         Applied::Advanced
     }
 
-    /// Applies what a peer sent.
+    /// Applies a delta or a full list received from a peer.
     pub fn apply_message(&mut self, message: &peer::ConfigChanges) -> Applied {
         let changes: Vec<Change> = message
             .changes
@@ -139,19 +138,19 @@
         }
     }
 
-    /// What a peer at `after_revision` lacks: the changes since, or everything
-    /// where they are no longer kept.
+    /// Changes for a peer at `after_revision`: a delta, or the full list if some of
+    /// the changes are no longer kept.
     pub fn changes_after(&self, after_revision: u64) -> peer::ConfigChanges {
-        let whole = after_revision == 0 || after_revision < self.kept_from_revision;
-        let changes = if whole {
-            self.values.iter().map(stored_message).collect()
+        let is_full = after_revision == 0 || after_revision < self.history_from_revision;
+        let changes = if is_full {
+            self.values.iter().map(change_message).collect()
         } else {
             let missing = |change: &&Change| change.revision > after_revision;
-            let kept = self.kept.iter().filter(missing);
-            kept.map(Change::to_message).collect()
+            let recent = self.history.iter().filter(missing);
+            recent.map(Change::to_message).collect()
         };
         peer::ConfigChanges {
-            from_revision: if whole { 0 } else { after_revision },
+            from_revision: if is_full { 0 } else { after_revision },
             to_revision: self.revision(),
             changes,
         }
@@ -169,11 +168,11 @@
     fn advance(&mut self, changes: Vec<Change>, to_revision: u64) {
         let mut next = ConfigSnapshot::clone(&self.snapshot);
         for change in changes {
-            if !put_in_force(&mut next, &change) {
+            if !apply_change(&mut next, &change) {
                 self.unreadable += 1;
             }
             self.store_value(&change);
-            self.keep(change);
+            self.push_history(change);
         }
         next.revision = to_revision;
         self.snapshot = Arc::new(next);
@@ -191,26 +190,26 @@
         self.values.insert(change.key.clone(), stored);
     }
 
-    fn keep(&mut self, change: Change) {
-        self.kept.push_back(change);
-        while self.kept.len() > self.kept_max {
-            let dropped = self.kept.pop_front();
-            self.kept_from_revision = dropped.map_or(0, |change| change.revision);
+    fn push_history(&mut self, change: Change) {
+        self.history.push_back(change);
+        while self.history.len() > self.history_max {
+            let dropped = self.history.pop_front();
+            self.history_from_revision = dropped.map_or(0, |change| change.revision);
         }
     }
 
-    // A list does not tell of resources that were declared and removed since
-    // the last one, and a peer in between may have them.
-    fn forget_kept(&mut self) {
-        self.kept.clear();
-        self.kept_from_revision = self.revision();
+    /// A full list lacks resources that were declared and removed since the last
+    /// one. A peer may have them, so a delta across the list would be incomplete.
+    fn clear_history(&mut self) {
+        self.history.clear();
+        self.history_from_revision = self.revision();
     }
 }
 
-fn newer(changes: &[Change], than_revision: u64) -> Vec<Change> {
+fn newer_than(changes: &[Change], revision: u64) -> Vec<Change> {
     let mut new: Vec<Change> = changes
         .iter()
-        .filter(|change| change.revision > than_revision)
+        .filter(|change| change.revision > revision)
         .cloned()
         .collect();
     new.sort_by_key(|change| change.revision);
@@ -225,7 +224,7 @@
     }
 }
 
-fn stored_message((key, stored): (&ResourceKey, &StoredValue)) -> peer::ConfigChange {
+fn change_message((key, stored): (&ResourceKey, &StoredValue)) -> peer::ConfigChange {
     peer::ConfigChange {
         key: key.to_string(),
         value: stored.value.clone(),
@@ -233,16 +232,16 @@
     }
 }
 
-// Whether the change could be read.
-fn put_in_force(snapshot: &mut ConfigSnapshot, change: &Change) -> bool {
+/// Applies a change; `false` if its value cannot be parsed.
+fn apply_change(snapshot: &mut ConfigSnapshot, change: &Change) -> bool {
     match change.key.kind {
-        Kind::Team => put_one(&mut snapshot.teams, change),
-        Kind::Service => put_one(&mut snapshot.services, change),
-        Kind::BackendServer => put_one(&mut snapshot.backend_servers, change),
+        Kind::Team => apply_to_kind(&mut snapshot.teams, change),
+        Kind::Service => apply_to_kind(&mut snapshot.services, change),
+        Kind::BackendServer => apply_to_kind(&mut snapshot.backend_servers, change),
     }
 }
 
-fn put_one<T: DeserializeOwned>(
+fn apply_to_kind<T: DeserializeOwned>(
     declared: &mut BTreeMap<Arc<str>, Declared<T>>,
     change: &Change,
 ) -> bool {
@@ -250,7 +249,7 @@
         declared.remove(change.key.name.as_str());
         return true;
     };
-    let Some(spec) = read_spec(value) else {
+    let Some(spec) = parse_spec(value) else {
         return false;
     };
     let revision = change.revision;
@@ -258,7 +257,7 @@
     true
 }
 
-fn read_spec<T: DeserializeOwned>(value: &[u8]) -> Option<T> {
+fn parse_spec<T: DeserializeOwned>(value: &[u8]) -> Option<T> {
     let resource: Resource = serde_json::from_slice(value).ok()?;
     serde_json::from_value(resource.spec).ok()
 }
--- a/crates/core/src/config/condition.rs
+++ b/crates/core/src/config/status.rs
@@ -1,40 +1,40 @@
-//! What is known of a resource that is declared.
+//! Status of a declared resource.
 
 use trefoil_schema::resources::{Condition, ConditionStatus, Kind, Resource, ResourceStatus};
 
 use super::ConfigSnapshot;
 
-/// How many instances have a declaration in force.
+/// Progress of a declaration's rollout to the instances.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Spread {
-    /// Live instances that have it in force.
+pub struct RolloutProgress {
+    /// Live instances that have applied the declaration.
     pub instances_in_force: u32,
-    /// Live instances.
+    /// All live instances.
     pub instances_live: u32,
 }
 
-/// The status of a resource declared at `revision`.
-pub fn status(
+/// Status of a resource that was declared at `revision`.
+pub fn resource_status(
     snapshot: &ConfigSnapshot,
     resource: &Resource,
     revision: u64,
-    spread: Spread,
+    progress: RolloutProgress,
 ) -> ResourceStatus {
-    let mut conditions = vec![in_force(spread)];
+    let mut conditions = vec![in_force(progress)];
     conditions.extend(referenced(snapshot, resource));
     ResourceStatus {
         revision,
-        instances_in_force: spread.instances_in_force,
-        instances_live: spread.instances_live,
+        instances_in_force: progress.instances_in_force,
+        instances_live: progress.instances_live,
         conditions,
     }
 }
 
-fn in_force(spread: Spread) -> Condition {
-    let Spread {
+fn in_force(progress: RolloutProgress) -> Condition {
+    let RolloutProgress {
         instances_in_force,
         instances_live,
-    } = spread;
+    } = progress;
     let message = format!("in force at {instances_in_force} of {instances_live} live instances");
     if instances_live == 0 {
         return condition("InForce", ConditionStatus::Unknown, "NoInstances", message);
@@ -45,7 +45,7 @@
     condition("InForce", ConditionStatus::True, "Everywhere", message)
 }
 
-// Whether the resources that belong together are declared.
+/// Whether a service has backend servers, or a backend server its service.
 fn referenced(snapshot: &ConfigSnapshot, resource: &Resource) -> Option<Condition> {
     match resource.kind {
         Kind::Team => None,
--- a/crates/core/src/config/check.rs
+++ b/crates/core/src/config/validation.rs
@@ -1,8 +1,8 @@
-//! Finds every wrong field of a declaration.
+//! Validates declarations and reports every invalid field.
 //!
-//! The form (types, required and unknown fields, closed sets) is read from
-//! the resources' JSON Schema, so that it stands in one place; rules that the
-//! schema does not express (names, addresses, ranges) follow in [`rules`].
+//! Types, required fields, unknown fields and enum values are checked against
+//! the resources' JSON Schema. Constraints that the schema does not express
+//! (names, addresses, ranges) are in [`rules`].
 
 use std::sync::LazyLock;
 
@@ -14,34 +14,39 @@
 mod rules;
 mod schema;
 
-/// Longest name of a resource, in bytes.
+/// Maximum length of a resource's name, in bytes.
 pub const NAME_BYTES_MAX: usize = 63;
 
 static SCHEMA: LazyLock<Value> =
     LazyLock::new(|| serde_json::from_str(RESOURCES_SCHEMA).expect("the schema is JSON"));
 
-/// Reads a declaration; on failure, every wrong field with what was found and
-/// what is allowed.
-pub fn check(declared: &Value) -> Result<Resource, Vec<FieldError>> {
+/// Validates and parses a declaration.
+///
+/// # Errors
+///
+/// Returns one error for each invalid field, with the value found and what is
+/// allowed.
+pub fn validate(declared: &Value) -> Result<Resource, Vec<FieldError>> {
     let mut errors = schema::check(&SCHEMA, &SCHEMA, "", declared);
     if let Some(spec_schema) = spec_schema(declared) {
         let spec = declared.get("spec").unwrap_or(&Value::Null);
         errors.extend(schema::check(&SCHEMA, spec_schema, "spec", spec));
     }
-    // A rule allows less than the field's type and so says more.
-    let broken = rules::check(declared);
-    errors.retain(|error| broken.iter().all(|rule| rule.path != error.path));
-    errors.extend(broken);
+    // A rule is more specific than the field's type, so its error replaces the
+    // schema's error for the same field.
+    let rule_errors = rules::check(declared);
+    errors.retain(|error| rule_errors.iter().all(|rule| rule.path != error.path));
+    errors.extend(rule_errors);
     if !errors.is_empty() {
         return Err(errors);
     }
     serde_json::from_value(declared.clone()).map_err(|error| {
         let allowed = "a resource".to_owned();
-        vec![wrong("", error.to_string(), allowed)]
+        vec![field_error("", error.to_string(), allowed)]
     })
 }
 
-/// Paths, dotted, at which two declarations differ.
+/// Dotted paths of the fields in which two declarations differ.
 pub fn changed_paths(before: &Value, after: &Value) -> Vec<String> {
     let mut paths = Vec::new();
     schema::compare("", before, after, &mut paths);
@@ -59,7 +64,7 @@
     SCHEMA.get("definitions")?.get(name)
 }
 
-fn wrong(path: impl Into<String>, found: String, allowed: impl Into<String>) -> FieldError {
+fn field_error(path: impl Into<String>, found: String, allowed: impl Into<String>) -> FieldError {
     FieldError {
         path: path.into(),
         found,
--- a/crates/core/src/config/check/rules.rs
+++ b/crates/core/src/config/validation/rules.rs
@@ -1,4 +1,4 @@
-//! Rules on single fields that the schema does not express.
+//! Constraints on single fields that the JSON Schema does not express.
 
 use std::net::SocketAddr;
 
@@ -6,16 +6,15 @@
 use trefoil_schema::api::FieldError;
 use trefoil_schema::resources::Kind;
 
-use super::schema::shown;
-use super::{NAME_BYTES_MAX, wrong};
+use super::schema::excerpt;
+use super::{NAME_BYTES_MAX, field_error};
 
 const PERCENT_MAX: u64 = 100;
-/// Longest run of one task that may be declared, in milliseconds: one hour.
 const TASK_TIMEOUT_MS_MAX: u64 = 3_600_000;
 const SLOTS_MAX: u64 = 10_000;
 const WEIGHT_MAX: u64 = 1_000_000;
 
-/// What a field's value must be.
+/// Constraint on a field's value.
 #[derive(Clone, Copy)]
 enum Rule {
     Name,
@@ -44,7 +43,7 @@
     ("spec.slots", Rule::Range(1, SLOTS_MAX)),
 ];
 
-/// Broken rules, on fields that are there.
+/// Violated rules; absent fields are skipped.
 pub(super) fn check(declared: &Value) -> Vec<FieldError> {
     let kind = declared.get("kind").and_then(Value::as_str);
     let of_kind = match kind.and_then(|kind| kind.parse().ok()) {
@@ -56,7 +55,7 @@
     COMMON
         .iter()
         .chain(of_kind)
-        .filter_map(|(path, rule)| broken(path, *rule, find(declared, path)?))
+        .filter_map(|(path, rule)| violation(path, *rule, find(declared, path)?))
         .collect()
 }
 
@@ -65,15 +64,15 @@
         .try_fold(declared, |value, name| value.get(name))
 }
 
-fn broken(path: &str, rule: Rule, value: &Value) -> Option<FieldError> {
-    let holds = match rule {
+fn violation(path: &str, rule: Rule, value: &Value) -> Option<FieldError> {
+    let is_valid = match rule {
         Rule::Name => value.as_str().is_some_and(is_name),
         Rule::Label => value.as_str().is_some_and(is_label),
         Rule::Address => value.as_str().is_some_and(is_address),
         Rule::Path => value.as_str().is_some_and(is_path),
         Rule::Range(min, max) => value.as_u64().is_some_and(|n| (min..=max).contains(&n)),
     };
-    (!holds).then(|| wrong(path, shown(value), rule.allowed()))
+    (!is_valid).then(|| field_error(path, excerpt(value), rule.allowed()))
 }
 
 impl Rule {
--- a/crates/core/src/config/check/schema.rs
+++ b/crates/core/src/config/validation/schema.rs
@@ -1,16 +1,16 @@
-//! Checks a value against the part of JSON Schema that the resources use:
-//! types, required and unknown fields, closed sets, integer formats.
+//! Validates a value against the subset of JSON Schema that the resources use:
+//! types, required and unknown fields, enums, integer formats.
 
 use serde_json::{Map, Value};
 use trefoil_schema::api::FieldError;
 
-use super::wrong;
+use super::field_error;
 
 const REFERENCE_PREFIX: &str = "#/definitions/";
-/// Longest excerpt of a wrong value that is shown, in characters.
-const SHOWN_CHARS_MAX: usize = 60;
+/// Maximum length of the excerpt of an invalid value in an error, in characters.
+const EXCERPT_CHARS_MAX: usize = 60;
 
-/// Every way in which `value` differs from `schema`, under `path`.
+/// Every violation of `schema` in `value`, which is at `path`.
 pub(super) fn check(root: &Value, schema: &Value, path: &str, value: &Value) -> Vec<FieldError> {
     let schema = resolve(root, schema);
     if let Some(allowed) = schema.get("enum").and_then(Value::as_array) {
@@ -25,7 +25,7 @@
     }
 }
 
-/// Adds the paths at which `before` and `after` differ to `paths`.
+/// Adds to `paths` the paths at which `before` and `after` differ.
 pub(super) fn compare(path: &str, before: &Value, after: &Value, paths: &mut Vec<String>) {
     if before == after {
         return;
@@ -42,10 +42,10 @@
     }
 }
 
-/// A value as it is shown in a message: JSON, cut short.
-pub(super) fn shown(value: &Value) -> String {
+/// The start of a value's JSON text, for error messages.
+pub(super) fn excerpt(value: &Value) -> String {
     let text = value.to_string();
-    match text.char_indices().nth(SHOWN_CHARS_MAX) {
+    match text.char_indices().nth(EXCERPT_CHARS_MAX) {
         Some((end, _)) => format!("{}...", &text[..end]),
         None => text,
     }
@@ -62,12 +62,12 @@
 
 fn check_object(root: &Value, schema: &Value, path: &str, value: &Value) -> Vec<FieldError> {
     let Value::Object(fields) = value else {
-        return vec![wrong(path, shown(value), "an object")];
+        return vec![field_error(path, excerpt(value), "an object")];
     };
     let none = Map::new();
     let known = schema.get("properties").and_then(Value::as_object);
     let known = known.unwrap_or(&none);
-    let mut errors = missing(schema, path, fields);
+    let mut errors = missing_fields(schema, path, fields);
     for (name, value) in fields {
         let path = join(path, name);
         match known.get(name).or(schema.get("additionalProperties")) {
@@ -75,13 +75,13 @@
                 let schema = known.get(name).unwrap_or(&schema["additionalProperties"]);
                 errors.extend(check(root, schema, &path, value));
             }
-            _ => errors.push(unknown(&path, known)),
+            _ => errors.push(unknown_field(&path, known)),
         }
     }
     errors
 }
 
-fn missing(schema: &Value, path: &str, fields: &Map<String, Value>) -> Vec<FieldError> {
+fn missing_fields(schema: &Value, path: &str, fields: &Map<String, Value>) -> Vec<FieldError> {
     let required = schema.get("required").and_then(Value::as_array);
     required
         .into_iter()
@@ -89,7 +89,7 @@
         .filter_map(Value::as_str)
         .filter(|name| !fields.contains_key(*name))
         .map(|name| {
-            wrong(
+            field_error(
                 join(path, name),
                 "nothing".to_owned(),
                 "a value; it is required",
@@ -98,10 +98,10 @@
         .collect()
 }
 
-fn unknown(path: &str, known: &Map<String, Value>) -> FieldError {
+fn unknown_field(path: &str, known: &Map<String, Value>) -> FieldError {
     let names: Vec<&str> = known.keys().map(String::as_str).collect();
     let allowed = format!("one of the fields {}", names.join(", "));
-    wrong(path, "an unknown field".to_owned(), allowed)
+    field_error(path, "an unknown field".to_owned(), allowed)
 }
 
 fn check_enum(allowed: &[Value], path: &str, value: &Value) -> Vec<FieldError> {
@@ -115,20 +115,20 @@
         Some("uint32") => u64::from(u32::MAX),
         _ => u64::MAX,
     };
-    let holds = value.as_u64().is_some_and(|number| number <= max);
+    let is_valid = value.as_u64().is_some_and(|number| number <= max);
     expect(
-        holds,
+        is_valid,
         path,
         value,
         &format!("a whole number from 0 to {max}"),
     )
 }
 
-fn expect(holds: bool, path: &str, value: &Value, allowed: &str) -> Vec<FieldError> {
-    if holds {
+fn expect(is_valid: bool, path: &str, value: &Value, allowed: &str) -> Vec<FieldError> {
+    if is_valid {
         return Vec::new();
     }
-    vec![wrong(path, shown(value), allowed)]
+    vec![field_error(path, excerpt(value), allowed)]
 }
 
 fn join(path: &str, name: &str) -> String {
--- a/crates/core/tests/config.rs
+++ b/crates/core/tests/config.rs
@@ -1,4 +1,4 @@
-//! The configuration in force follows the store's history and never steps back.
+//! The applied configuration follows the store's history and never goes backwards.
 
 use std::collections::BTreeMap;
 
@@ -6,14 +6,16 @@
 use arbtest::arbtest;
 use bytes::Bytes;
 use trefoil_core::config::log::Applied;
-use trefoil_core::config::settle::{Found, Outcome, Write, settle};
+use trefoil_core::config::write_outcome::{
+    ConditionalWrite, StoredKey, WriteOutcome, determine_outcome,
+};
 use trefoil_core::config::{Change, ConfigLog, ResourceKey, StoredValue};
 use trefoil_schema::peer::ConfigChanges;
 use trefoil_schema::resources::Kind;
 
 const NAMES: [&str; 4] = ["a", "b", "c", "d"];
 const LOGS: usize = 3;
-const KEPT_MAX: usize = 4;
+const HISTORY_MAX: usize = 4;
 
 fn service(name: &str, declared_run_ms: u64) -> Bytes {
     let text = format!(
@@ -30,11 +32,11 @@
     }
 }
 
-/// The store's history: at each revision a change, or a write of another key.
+/// The store's history: the change at each revision, `None` for one of another key.
 struct History(Vec<Option<Change>>);
 
 impl History {
-    fn draw(u: &mut Unstructured<'_>) -> Result<Self> {
+    fn arbitrary(u: &mut Unstructured<'_>) -> Result<Self> {
         let length = u.int_in_range(1..=24)?;
         let mut changes = vec![None];
         for revision in 1..=length {
@@ -85,7 +87,7 @@
     }
 }
 
-fn step(
+fn apply_random_update(
     u: &mut Unstructured<'_>,
     history: &History,
     log: &mut ConfigLog,
@@ -112,15 +114,15 @@
 }
 
 #[test]
-fn any_order_of_lists_watches_and_peers_passes_through_the_stores_states() {
+fn any_order_of_lists_deltas_and_peer_messages_passes_through_the_stores_states() {
     arbtest(|u| {
-        let history = History::draw(u)?;
-        let mut logs = vec![ConfigLog::new(KEPT_MAX); LOGS];
+        let history = History::arbitrary(u)?;
+        let mut logs = vec![ConfigLog::new(HISTORY_MAX); LOGS];
         let mut messages = Vec::new();
         for _ in 0..u.int_in_range(1..=40)? {
             let log = &mut logs[u.int_in_range(0..=LOGS - 1)?];
             let before = log.revision();
-            step(u, &history, log, &messages)?;
+            apply_random_update(u, &history, log, &messages)?;
             assert!(log.revision() >= before, "the revision went backwards");
             assert_eq!(*log.values(), history.state(log.revision()));
             let snapshot = log.snapshot();
@@ -132,7 +134,7 @@
 }
 
 #[test]
-fn a_peer_takes_the_delta_where_it_is_kept_and_everything_otherwise() {
+fn peer_is_sent_a_delta_if_the_changes_are_kept_and_the_full_list_otherwise() {
     let mut source = ConfigLog::new(2);
     for revision in 1..=5 {
         let changes = [change("a", Some(service("a", revision)), revision)];
@@ -140,19 +142,19 @@
     }
     let delta = source.changes_after(3);
     assert_eq!((delta.from_revision, delta.changes.len()), (3, 2));
-    let whole = source.changes_after(2);
-    assert_eq!((whole.from_revision, whole.changes.len()), (0, 1));
+    let full = source.changes_after(2);
+    assert_eq!((full.from_revision, full.changes.len()), (0, 1));
     let mut fresh = ConfigLog::default();
     assert_eq!(
         fresh.apply_message(&delta),
         Applied::Gap { after_revision: 0 }
     );
-    assert_eq!(fresh.apply_message(&whole), Applied::Advanced);
+    assert_eq!(fresh.apply_message(&full), Applied::Advanced);
     assert_eq!(fresh.snapshot(), source.snapshot());
 }
 
 #[test]
-fn an_unreadable_value_leaves_the_earlier_declaration_in_force() {
+fn unparsable_value_leaves_the_previous_declaration_in_force() {
     let mut log = ConfigLog::default();
     log.apply(0, 1, &[change("a", Some(service("a", 70)), 1)]);
     log.apply(1, 2, &[change("a", Some("{".into()), 2)]);
@@ -161,17 +163,17 @@
     assert_eq!((snapshot.revision, log.unreadable()), (2, 1));
 }
 
-/// One writer among others at a key; every write replaces what it read.
+/// The outcome is never wrong while other writers change the same key.
 #[test]
-fn a_lost_answer_is_never_settled_against_the_truth() {
+fn write_with_lost_response_is_never_given_a_wrong_outcome() {
     arbtest(|u| {
         let mut key = Key::default();
         for _ in 0..u.int_in_range(0..=3)? {
             key.change(u)?;
         }
-        // Only a key that is there can be removed.
+        // Only an existing key can be removed.
         let removes = key.found.is_some() && u.ratio(1, 3)?;
-        let write = Write {
+        let write = ConditionalWrite {
             value: (!removes).then(|| "ours".into()),
             replaces_revision: key.found.as_ref().map_or(0, |found| found.revision),
             replaces_version: key.found.as_ref().map_or(0, |found| found.version),
@@ -183,13 +185,13 @@
         for _ in 0..u.int_in_range(0..=3)? {
             key.change(u)?;
         }
-        match settle(&write, key.found.as_ref()) {
-            Outcome::Pending => assert!(!took_effect),
-            Outcome::Lost { .. } => assert!(!took_effect),
-            Outcome::Applied { .. } => {
+        match determine_outcome(&write, key.found.as_ref()) {
+            WriteOutcome::Pending => assert!(!took_effect),
+            WriteOutcome::Lost { .. } => assert!(!took_effect),
+            WriteOutcome::Applied { .. } => {
                 assert_eq!(key.found.map(|found| found.value), write.value);
             }
-            Outcome::Unknown => {}
+            WriteOutcome::Unknown => {}
         }
         Ok(())
     });
@@ -198,7 +200,7 @@
 #[derive(Default)]
 struct Key {
     revision: u64,
-    found: Option<Found>,
+    found: Option<StoredKey>,
 }
 
 impl Key {
@@ -212,7 +214,7 @@
         self.revision += 1;
         let revision = self.revision;
         let earlier = self.found.take();
-        self.found = value.map(|value| Found {
+        self.found = value.map(|value| StoredKey {
             value,
             revision,
             created_revision: earlier.as_ref().map_or(revision, |e| e.created_revision),
@@ -222,14 +224,14 @@
 }
 
 #[test]
-fn a_list_also_removes_what_only_the_peer_had_seen() {
+fn full_list_removes_resources_that_only_the_peer_had() {
     let a = change("a", Some(service("a", 1)), 1);
     let b = change("b", Some(service("b", 2)), 2);
     let mut source = ConfigLog::default();
     source.apply(0, 1, std::slice::from_ref(&a));
     let mut peer = source.clone();
     peer.apply(1, 2, &[b]);
-    // `b` was removed at revision 3, before the source listed.
+    // `b` was removed at revision 3, before the source read the full list.
     source.replace(4, &[a]);
     peer.apply_message(&source.changes_after(peer.revision()));
     assert_eq!(peer.snapshot(), source.snapshot());
--- a/crates/core/tests/config_check.rs
+++ b/crates/core/tests/config_validation.rs
@@ -1,11 +1,11 @@
-//! Every wrong field of a declaration is found, with what is allowed.
+//! Validation reports every invalid field of a declaration and what is allowed.
 
 use expect_test::{Expect, expect};
 use serde_json::{Value, json};
-use trefoil_core::config::check::{changed_paths, check};
+use trefoil_core::config::validation::{changed_paths, validate};
 
 fn expect_errors(declared: Value, expected: Expect) {
-    let errors = check(&declared).unwrap_err();
+    let errors = validate(&declared).unwrap_err();
     let lines: Vec<String> = errors
         .iter()
         .map(|error| {
@@ -19,21 +19,21 @@
 }
 
 #[test]
-fn good_declarations_pass() {
-    let good = [
+fn valid_declarations_are_accepted() {
+    let valid = [
         json!({"kind": "team", "name": "payroll", "spec": {}}),
         json!({"kind": "service", "name": "pay-run", "labels": {"owner": "x"},
             "spec": {"idempotent": true, "targets": {"response_p99_ms": 900}}}),
         json!({"kind": "backend_server", "name": "w1", "spec": {"service": "pay-run",
             "failure_domain": "Portmore", "address": "[::1]:80", "state": "leaving"}}),
     ];
-    for declared in good {
-        assert_eq!(check(&declared).map(|_| ()), Ok(()), "{declared}");
+    for declared in valid {
+        assert_eq!(validate(&declared).map(|_| ()), Ok(()), "{declared}");
     }
 }
 
 #[test]
-fn every_wrong_field_is_told_at_once() {
+fn all_invalid_fields_are_reported_at_once() {
     let declared = json!({"kind": "service", "name": "Pay_Run", "labels": {"owner": 1}, "extra": 0,
         "spec": {"path": "run", "declared_run_ms": 0, "task_timeout_ms": -1, "idempotent": "yes",
             "targets": {"refused_percent_max": 101, "p50": 3}}});
@@ -54,7 +54,7 @@
 }
 
 #[test]
-fn a_backend_server_needs_its_fields() {
+fn missing_fields_of_a_backend_server_are_reported() {
     let declared = json!({"kind": "backend_server", "name": "w1",
         "spec": {"address": "host:80", "slots": 5_000_000_000u64, "state": "gone"}});
     expect_errors(
@@ -70,7 +70,7 @@
 }
 
 #[test]
-fn a_kind_that_is_not_known_is_told() {
+fn unknown_kind_is_reported() {
     let declared = json!({"kind": "worker", "spec": 1});
     expect_errors(
         declared,
@@ -82,7 +82,7 @@
 }
 
 #[test]
-fn changed_fields_are_named() {
+fn changed_fields_are_listed() {
     let before = json!({"name": "a", "spec": {"path": "/run", "targets": {"x": 1}}});
     let after = json!({"name": "a", "spec": {"targets": {"x": 2}, "slots": 3}});
     let paths = changed_paths(&before, &after);
