--- a/crates/core/src/dispatch/entry.rs
+++ b/crates/core/src/dispatch/entry.rs
@@ -20,7 +20,7 @@
 use trefoil_schema::dispatch::{Claim, Holder, Job as JobSpec, Load, Outcome};
 
 use super::limits::{PLACEMENT_TIMEOUT_MS, REDELEGATION_DELAY_MS};
-use super::owner::Ending;
+use super::owner::JobResult;
 use super::ownership::holder_of;
 
 use choice::{choose, width_of, work_of};
@@ -158,7 +158,7 @@
         &mut self,
         now_ms: u64,
         from: &PoolOwner,
-        ending: &Ending,
+        ending: &JobResult,
         out: &mut Vec<Command>,
     ) {
         let id = ending.job_id.as_str();
--- a/crates/core/src/dispatch/owner/adopt.rs
+++ b/crates/core/src/dispatch/owner/adopt.rs
@@ -34,10 +34,10 @@
                 } else {
                     task.state = TaskState::Assigned(worker_key);
                     let phase = job.spec.phases[usize::from(task.phase)].clone();
-                    run.resources = Some(place::room_of(&phase));
+                    run.resources = Some(placement::room_of(&phase));
                     run.estimate_ms = phase.estimate_ms;
                     run.expected_ms = phase.estimate_ms;
-                    run.timeouts = place::patience(run.expected_ms, 0);
+                    run.timeouts = placement::patience(run.expected_ms, 0);
                 }
                 task.run_id = task.run_id.max(run.run_id);
                 run.owner = RunOwner::Task(key, index);
--- a/crates/core/src/dispatch/owner/ends.rs
+++ b/crates/core/src/dispatch/owner/completions.rs
@@ -39,10 +39,10 @@
             RunOutcome::Stopped | RunOutcome::LeaseExpired => {}
         }
         if end.outcome != RunOutcome::Done {
-            let mut note = Note::job("run ended", &end.task);
+            let mut note = LogEvent::job("run ended", &end.task);
             note.worker = self.workers[key].record.id.to_string();
             note.detail = format!("{:?} after {took_ms} ms", end.outcome);
-            out.push(Command::Note(note));
+            out.push(Command::Log(note));
         }
         match (end.outcome, run.owner) {
             (RunOutcome::Done, RunOwner::Task(job, index)) => {
--- a/crates/core/src/dispatch/owner/holds.rs
+++ b/crates/core/src/dispatch/owner/lease_renewal.rs
@@ -65,7 +65,7 @@
             sent_ms: now_ms,
             wait_ms,
         });
-        out.push(Command::Hold(RenewOrder {
+        out.push(Command::Renew(RenewOrder {
             target: target_of(key, worker),
             number: worker.renewals_sent,
             deadline_ms,
@@ -76,7 +76,7 @@
     }
 
     /// Takes in what became of the hold of this number, sent under `fence`.
-    pub fn hold_answered(
+    pub fn on_renew_result(
         &mut self,
         now_ms: u64,
         key: WorkerKey,
@@ -113,7 +113,7 @@
                 let is_back = worker.fencing == FencingState::Unfenced;
                 if is_back {
                     worker.fencing = FencingState::Fenced;
-                    out.push(Command::Note(Note::worker("fenced", worker)));
+                    out.push(Command::Log(LogEvent::worker("fenced", worker)));
                 }
                 if self.clearance.fenced(&worker.record.id) {
                     self.queue.invalidate();
@@ -137,7 +137,7 @@
             RenewOutcome::WrongIncarnation => {}
             RenewOutcome::Unhealthy | RenewOutcome::NoAnswer => {
                 if worker.fencing == FencingState::Fenced {
-                    out.push(Command::Note(Note::worker(
+                    out.push(Command::Log(LogEvent::worker(
                         "lease renewal unanswered",
                         worker,
                     )));
@@ -211,9 +211,9 @@
             .filter(|listed| worker.position(&listed.task, listed.run_id).is_none())
             .collect();
         for run in gone {
-            let mut note = Note::job("run not found", &run.task);
+            let mut note = LogEvent::job("run not found", &run.task);
             note.worker = self.workers[key].record.id.to_string();
-            out.push(Command::Note(note));
+            out.push(Command::Log(note));
             self.requeue(now_ms, &run.owner, 0);
         }
         for listed in strangers {
@@ -241,7 +241,7 @@
                 job.tasks[index].state = TaskState::Assigned(key);
                 job.tasks[index].run_id = listed.run_id;
                 let phase = &job.spec.phases[usize::from(job.tasks[index].phase)];
-                let room = place::room_of(phase);
+                let room = placement::room_of(phase);
                 (
                     RunOwner::Task(job_key, index),
                     Some(room),
@@ -255,11 +255,11 @@
                 (RunOwner::Orphan { stop_at_ms }, None, 0)
             }
         };
-        let mut note = Note::job("run of previous owner found", &listed.task);
+        let mut note = LogEvent::job("run of previous owner found", &listed.task);
         note.detail = format!("adopted {}", adopted.is_some());
         let worker = &mut self.workers[key];
         note.worker = worker.record.id.to_string();
-        out.push(Command::Note(note));
+        out.push(Command::Log(note));
         worker.runs.push(Run {
             task: listed.task.clone(),
             run_id: listed.run_id,
@@ -270,7 +270,7 @@
             confirmed_ms: now_ms,
             estimate_ms: expected_ms,
             expected_ms,
-            timeouts: place::patience(expected_ms, 0),
+            timeouts: placement::patience(expected_ms, 0),
         });
         // The earlier owner may have renewed its lease just before.
         worker.leases_expire_ms = worker
@@ -305,7 +305,7 @@
             if answers || worker.runs.is_empty() || now_ms < worker.leases_expire_ms {
                 continue;
             }
-            out.push(Command::Note(Note::worker("leases expired", worker)));
+            out.push(Command::Log(LogEvent::worker("leases expired", worker)));
             worker.health.record_failure(now_ms);
             // What was ordered under the present fence must not start any more.
             worker.raise_fence();
