--- a/src/http/operator.rs
+++ b/src/http/operator.rs
@@ -2,7 +2,7 @@
 //!
 //! Reads of one resource ask the store first and fall back to what is in
 //! force here, and say so; writes need the store. Nothing here decides what a
-//! declaration may be: that is [`trefoil_core::config::check`].
+//! declaration may be: that is [`trefoil_core::config::validation`].
 
 use std::sync::Arc;
 
--- a/src/http/operator/refuse.rs
+++ b/src/http/operator/refuse.rs
@@ -4,7 +4,7 @@
 use poem::http::StatusCode;
 use serde_json::Value;
 use trefoil_core::config::ResourceKey;
-use trefoil_core::config::check::changed_paths;
+use trefoil_core::config::validation::changed_paths;
 use trefoil_core::verdict::Verdict;
 use trefoil_schema::api::FieldError;
 
--- a/src/http/operator/render.rs
+++ b/src/http/operator/render.rs
@@ -3,7 +3,7 @@
 use poem::http::{HeaderValue, StatusCode, header};
 use poem::{IntoResponse, Response};
 use trefoil_core::config::ResourceKey;
-use trefoil_core::config::condition::{Spread, status};
+use trefoil_core::config::status::{RolloutProgress, resource_status};
 use trefoil_schema::api::{InstanceStateName, InstanceStatus};
 use trefoil_schema::resources::{Condition, ConditionStatus, Resource, StoredResource};
 
@@ -38,7 +38,7 @@
     pub(super) fn render(&self, stored: Stored, source: Source) -> StoredResource {
         let Stored { resource, revision } = stored;
         let snapshot = self.context.config.current();
-        let mut status = status(&snapshot, &resource, revision, self.spread(revision));
+        let mut status = resource_status(&snapshot, &resource, revision, self.spread(revision));
         let key = ResourceKey::new(resource.kind, resource.name.as_str());
         status.conditions.extend((self.context.conditions)(&key));
         if source == Source::Memory {
@@ -54,7 +54,7 @@
     }
 
     // An instance that is silent counts as live: it may still serve.
-    fn spread(&self, revision: u64) -> Spread {
+    fn spread(&self, revision: u64) -> RolloutProgress {
         let gone = InstanceStateName::Gone;
         let live = self.instances.iter().filter(|one| one.state != gone);
         let (mut instances_live, mut instances_in_force) = (0, 0);
@@ -62,7 +62,7 @@
             instances_live += 1;
             instances_in_force += u32::from(instance.config_revision >= revision);
         }
-        Spread {
+        RolloutProgress {
             instances_in_force,
             instances_live,
         }
--- a/src/http/operator/write.rs
+++ b/src/http/operator/write.rs
@@ -7,7 +7,7 @@
 use serde::Deserialize;
 use serde_json::Value;
 use trefoil_core::config::ResourceKey;
-use trefoil_core::config::check::check;
+use trefoil_core::config::validation::validate;
 use trefoil_schema::api::FieldError;
 use trefoil_schema::resources::Resource;
 
@@ -142,7 +142,7 @@
 }
 
 fn checked(key: &ResourceKey, declared: &Value) -> Result<Resource, Vec<FieldError>> {
-    let resource = check(declared)?;
+    let resource = validate(declared)?;
     let kind = key.kind.to_string();
     let kind_error = mismatch("kind", &resource.kind.to_string(), &kind);
     let name_error = mismatch("name", &resource.name, &key.name);
--- a/src/ops/declare.rs
+++ b/src/ops/declare.rs
@@ -7,7 +7,7 @@
 use serde::Serialize;
 use serde::de::DeserializeOwned;
 use serde_json::Value;
-use trefoil_core::config::check::check;
+use trefoil_core::config::validation::validate;
 use trefoil_schema::resources::{BackendServerSpec, Kind, Resource, ServiceSpec, TeamSpec};
 
 use super::error::{FormError, OpsError, WrongField};
@@ -104,7 +104,7 @@
     let mut resources = Vec::new();
     let mut wrong = Vec::new();
     for (position, declared) in declared.iter().enumerate() {
-        match check(declared) {
+        match validate(declared) {
             Ok(resource) => resources.push(resource),
             Err(errors) => {
                 let title = title(position, declared);
--- a/src/sources/config.rs
+++ b/src/sources/config.rs
@@ -81,7 +81,7 @@
     /// between are missing.
     pub fn apply_from_peer(&self, changes: &ConfigChanges) -> Option<ConfigRequest> {
         match self.shared.update(|log| log.apply_message(changes)) {
-            Applied::Advanced | Applied::Old => None,
+            Applied::Advanced | Applied::AlreadyApplied => None,
             Applied::Gap { after_revision } => Some(ConfigRequest { after_revision }),
         }
     }
--- a/src/sources/config/write.rs
+++ b/src/sources/config/write.rs
@@ -5,7 +5,9 @@
 use bytes::Bytes;
 use derive_more::{Display, Error};
 use tokio::time::Instant;
-use trefoil_core::config::settle::{Found, Outcome, Write, settle};
+use trefoil_core::config::write_outcome::{
+    ConditionalWrite, StoredKey, WriteOutcome, determine_outcome,
+};
 use trefoil_schema::settings::PlatformSettings;
 
 use crate::sources::backoff::Backoff;
@@ -47,7 +49,7 @@
     before: Option<&KeyValue>,
     value: Option<Bytes>,
 ) -> Result<u64, WriteError> {
-    let write = Write {
+    let write = ConditionalWrite {
         value,
         replaces_revision: before.map_or(0, |kv| kv.revision),
         replaces_version: before.map_or(0, |kv| kv.version),
@@ -73,7 +75,7 @@
 async fn send(
     store: &dyn PlatformStore,
     key: &str,
-    write: &Write,
+    write: &ConditionalWrite,
 ) -> Result<CasResult, StoreError> {
     match &write.value {
         Some(value) => store.put_if(key, value.clone(), write.replaces_revision),
@@ -86,7 +88,7 @@
 struct Settling<'a> {
     store: &'a dyn PlatformStore,
     key: &'a str,
-    write: &'a Write,
+    write: &'a ConditionalWrite,
     backoff: Backoff,
     give_up: Instant,
 }
@@ -119,11 +121,11 @@
     }
 
     fn judge(&self, current: Option<KeyValue>) -> Option<Result<u64, WriteError>> {
-        match settle(self.write, current.as_ref().map(found).as_ref()) {
-            Outcome::Pending => None,
-            Outcome::Applied { revision } => Some(Ok(revision)),
-            Outcome::Lost { .. } => Some(Err(WriteError::Conflict { current })),
-            Outcome::Unknown => {
+        match determine_outcome(self.write, current.as_ref().map(found).as_ref()) {
+            WriteOutcome::Pending => None,
+            WriteOutcome::Applied { revision } => Some(Ok(revision)),
+            WriteOutcome::Lost { .. } => Some(Err(WriteError::Conflict { current })),
+            WriteOutcome::Unknown => {
                 let reason = "another change followed before it could be read back".to_owned();
                 Some(Err(WriteError::MayHaveApplied { reason }))
             }
@@ -131,8 +133,8 @@
     }
 }
 
-fn found(kv: &KeyValue) -> Found {
-    Found {
+fn found(kv: &KeyValue) -> StoredKey {
+    StoredKey {
         value: kv.value.clone(),
         revision: kv.revision,
         created_revision: kv.created_revision,
