--- a/crates/core/src/dispatch.rs
+++ b/crates/core/src/dispatch.rs
@@ -1,22 +1,23 @@
-//! Dispatch onto fenced workers: who owns a worker, and what runs on it.
+//! Dispatch of jobs to workers that are protected by fencing tokens.
 //!
-//! Each failure domain's workers are laid out in *pools* ([`pool`]). A pool has
-//! one *owner*, the only instance that orders its workers. Callers reach any
-//! instance; as an *entry* it delegates whole jobs to an owner and carries the
-//! answers. What makes this safe is not that owners agree but that a worker
-//! obeys only the highest fence it has seen:
+//! The workers of a failure domain are partitioned into *pools* ([`pool`]). A pool
+//! has one *owner*, the only instance that sends orders to its workers. Callers
+//! submit jobs to any instance, which as their *entry* delegates each job to an owner
+//! and returns the answer. Safety does not depend on agreement between owners: a
+//! worker obeys only the highest fencing token that it has seen.
 //!
 //! * [`fence`]: fencing tokens, ordered by term of ownership, then by a counter.
-//! * [`ownership`]: claims on pools, when to make one, and whom to link with.
-//! * [`retirement`]: closing a link that neither side needs.
-//! * [`entry`]: callers' jobs, delegated and delegated anew.
+//! * [`ownership`]: claims on pools, and which instances to link with.
+//! * [`retirement`]: closing links that neither side needs.
+//! * [`entry`]: callers' jobs and their delegation.
 //! * [`owner`]: jobs, tasks and workers of one owner.
-//! * [`worker`]: what an owner knows of one worker.
-//! * [`job`]: a job's tasks and their order.
-//! * [`limits`]: each time limit, and where it comes from.
+//! * [`worker`]: an owner's state of one worker.
+//! * [`job`]: a job's tasks and phases.
+//! * [`order`]: orders to workers and their outcomes.
+//! * [`limits`]: timeouts and other limits.
 //!
-//! Everything takes the current instant in milliseconds of a steady clock and
-//! pushes commands; nothing here opens a socket or reads a clock.
+//! The modules do no I/O and read no clock: methods take the current time, in
+//! milliseconds of a monotonic clock, and append commands to a vector.
 
 pub mod entry;
 pub mod fence;
--- a/crates/core/src/dispatch/fence.rs
+++ b/crates/core/src/dispatch/fence.rs
@@ -1,19 +1,19 @@
 //! Fencing tokens.
 //!
-//! A worker obeys the highest token that it has seen. The token's high digits
-//! are the owner's term, so that a new owner's orders outrank all of the old
-//! one's; the middle ones tell apart two instances that claimed one term while
-//! they could not reach each other; the low ones are a counter, with which an
-//! owner outranks its own orders whose fate it does not know.
+//! A worker obeys only the highest token that it has seen. The high bits are the
+//! owner's term, so that a new owner's orders supersede those of its predecessor.
+//! The middle bits distinguish instances that claimed the same term while they
+//! could not reach each other. The low bits are a counter, with which an owner
+//! supersedes its own orders whose outcome is unknown.
 
 use xxhash_rust::xxh3::xxh3_64;
 
 const COUNTER_BITS: u32 = 16;
 const CLAIMANT_BITS: u32 = 12;
 
-/// A fencing token; larger ones outrank smaller ones.
+/// A fencing token; a higher one supersedes lower ones.
 ///
-/// At most 53 bits are used, so that it passes through JSON numbers.
+/// It has at most 53 bits, so that it is exact as a JSON number.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Fence(u64);
 
@@ -26,20 +26,20 @@
 
     /// The next fence of the same term and claimant.
     ///
-    /// At ten raises a second, which a worker that never answers causes, the
-    /// counter lasts for almost two hours; beyond that it would count into the
-    /// claimant's digits, which still outranks all before it.
+    /// The fence of a worker that never answers is raised about ten times a second,
+    /// so the counter lasts almost two hours. It then overflows into the claimant's
+    /// bits, which still supersedes all earlier fences.
     #[must_use]
     pub fn raised(self) -> Self {
         Self(self.0 + 1)
     }
 
-    /// Whether both are of the same term and claimant.
+    /// Whether both have the same term and claimant.
     pub fn same_ownership(self, other: Self) -> bool {
         self.0 >> COUNTER_BITS == other.0 >> COUNTER_BITS
     }
 
-    /// The number that goes to the worker.
+    /// The numeric token that is sent to workers.
     pub fn token(self) -> u64 {
         self.0
     }
--- a/crates/core/src/dispatch/job.rs
+++ b/crates/core/src/dispatch/job.rs
@@ -1,4 +1,4 @@
-//! A job's tasks and their order.
+//! A job at its owner: its tasks, phases and latency objective.
 
 use std::cmp::Reverse;
 use std::sync::Arc;
@@ -8,51 +8,51 @@
 use super::order::WorkerKey;
 use super::owner::StartBarrier;
 
-/// Up to this multiple of the objective, an answer is late but not worthless.
+/// Up to this multiple of the latency objective, an answer is late but still useful.
 pub const LATE_FACTOR: f64 = 3.0;
-/// A job that has not started is given up when the late objective, which rests
-/// on a rough estimate, has passed by this factor.
-const HOPELESS_FACTOR: f64 = 1.5;
+/// Multiple of the late objective after which a job that has not started expires. The
+/// objective is based on rough estimates.
+const EXPIRY_FACTOR: f64 = 1.5;
 
-/// Whoever delegated a job and awaits its end.
+/// Where a job was delegated from, and its outcome is reported to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub enum Origin {
-    /// This instance's own entry.
+    /// The entry of this instance.
     Local,
-    /// A link that another instance dialed.
+    /// A link from another instance.
     Link(u64),
 }
 
-/// Where one task stands.
+/// State of a task.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum TaskState {
-    /// To be started, not before this instant.
+    /// To be started.
     Waiting {
-        /// Milliseconds of the steady clock.
+        /// Earliest start, in milliseconds of the monotonic clock.
         not_before_ms: u64,
     },
-    /// On a worker, or on its way there.
+    /// Running on a worker, or ordered to start there.
     Assigned(WorkerKey),
-    /// Done.
+    /// Completed.
     Done,
 }
 
-/// One task.
+/// A task of a job.
 #[derive(Clone, Debug)]
 pub struct Task {
-    /// Position of its phase in the job.
+    /// Index of its phase in the job.
     pub phase: u16,
-    /// Name that workers know it by.
+    /// Name in orders to workers.
     pub name: Arc<str>,
-    /// Where it stands.
+    /// Current state.
     pub state: TaskState,
-    /// Runs that ended as failed.
+    /// Number of runs that failed.
     pub failures: u32,
-    /// Runs that were stopped because they took far too long.
+    /// Number of runs that were stopped as stalled.
     pub stalls: u32,
-    /// Workers that were lost while a run of it was there, and not heard since.
+    /// Workers that were lost during a run of it and have not answered since.
     pub lost_on: Vec<WorkerKey>,
-    /// Number of its last run; 0 before the first.
+    /// Id of the last run; 0 before the first.
     pub run_id: u64,
 }
 
@@ -62,41 +62,43 @@
         matches!(self.state, TaskState::Waiting { .. })
     }
 
-    /// Whether a worker was lost under it, so that it may crash the next one.
+    /// Whether a worker was lost during a run of it, so that it may crash others.
     pub fn is_suspect(&self) -> bool {
         !self.lost_on.is_empty()
     }
 }
 
-/// One job at its owner.
+/// A job at its owner.
 #[derive(Clone, Debug)]
 pub struct Job {
-    /// What the caller asked for.
+    /// The delegated job.
     pub spec: JobSpec,
-    /// The caller's text for the tasks, shared by their starts.
+    /// The caller's specification of the tasks, shared by all start orders.
     pub task_spec: Arc<str>,
-    /// Who awaits the end; none once the origin has gone.
+    /// Where the outcome is reported to; `None` once the origin is gone.
     pub origin: Option<Origin>,
-    /// All tasks, by phase and index.
+    /// All tasks, ordered by phase and index.
     pub tasks: Vec<Task>,
-    /// When the caller's request was read.
+    /// When the caller submitted the job.
     pub arrived_ms: u64,
-    /// Until then tasks that an earlier owner started may run ...
+    /// Until then, tasks that an earlier owner started may be running, unless
+    /// `start_barrier` is passed sooner.
     pub unsafe_until_ms: u64,
-    /// ... unless this makes it safe sooner.
+    /// What must happen before tasks may start.
     pub start_barrier: StartBarrier,
     /// Whether the job's runs are being stopped.
     pub stopping: bool,
-    /// Whether the origin's link broke: nothing new starts until it is back.
+    /// Whether the origin's link is down; no tasks are started meanwhile.
     pub paused: bool,
-    /// Whether any task was ever ordered to start.
+    /// Whether a start was ever ordered for any task.
     pub started: bool,
-    /// Workers on which tasks of it failed, each once; others are tried first.
+    /// Workers on which tasks of the job failed, without duplicates. Others are
+    /// preferred.
     pub failed_on: Vec<WorkerKey>,
 }
 
 impl Job {
-    /// A job none of whose tasks is known to run.
+    /// Creates a job without any known runs.
     pub fn new(spec: JobSpec, origin: Origin, now_ms: u64) -> Self {
         let tasks = tasks_of(&spec);
         let arrived_ms = now_ms.saturating_sub(spec.age_ms);
@@ -115,48 +117,49 @@
         }
     }
 
-    /// Whether no earlier owner's order can start any of its tasks; `fenced`
-    /// tells whether all workers obey that the predecessor may have ordered.
-    pub fn is_safe(&self, now_ms: u64, fenced: bool) -> bool {
-        let cleared = match self.start_barrier {
+    /// Whether no order of an earlier owner can start a task of it any more.
+    /// `predecessor_fenced` is whether all workers of the predecessor's roster are
+    /// fenced.
+    pub fn is_safe(&self, now_ms: u64, predecessor_fenced: bool) -> bool {
+        let is_passed = match self.start_barrier {
             StartBarrier::LeaseExpiry => false,
             StartBarrier::None => true,
-            StartBarrier::PredecessorFenced => fenced,
+            StartBarrier::PredecessorFenced => predecessor_fenced,
         };
-        cleared || now_ms >= self.unsafe_until_ms
+        is_passed || now_ms >= self.unsafe_until_ms
     }
 
-    /// The phase that a task belongs to.
+    /// The phase of a task.
     pub fn phase(&self, task: &Task) -> &Phase {
         &self.spec.phases[usize::from(task.phase)]
     }
 
-    /// Whether all phases that `phase` comes after are done.
+    /// Whether all phases that `phase` depends on are done.
     pub fn is_phase_ready(&self, phase: usize) -> bool {
         let after = &self.spec.phases[phase].after;
         after.is_empty() || {
-            let open = |task: &&Task| task.state != TaskState::Done;
-            let mut tasks = self.tasks.iter().filter(open);
+            let unfinished = |task: &&Task| task.state != TaskState::Done;
+            let mut tasks = self.tasks.iter().filter(unfinished);
             !tasks.any(|task| after.contains(&u32::from(task.phase)))
         }
     }
 
-    /// A task of it failed on a worker.
+    /// Records that a task failed on a worker.
     pub fn record_failure(&mut self, on: WorkerKey) {
         if !self.failed_on.contains(&on) {
             self.failed_on.push(on);
         }
     }
 
-    /// Whether its failures are likely its own fault: tasks have failed on
-    /// several workers, and none was ever done.
+    /// Whether its failures are likely caused by the job itself: tasks have failed on
+    /// several workers and none has completed.
     pub fn is_suspect(&self) -> bool {
         let done = |task: &Task| task.state == TaskState::Done;
         self.failed_on.len() > 1 && !self.tasks.iter().any(done)
     }
 
-    /// The task by which a suspect job shows soonest whether it can be done:
-    /// the one that has failed most often.
+    /// Index of the task that is tried first in a suspect job: the one with the most
+    /// failures.
     pub fn probe_task(&self) -> Option<usize> {
         let tasks = self.tasks.iter().enumerate();
         let most = tasks.max_by_key(|(index, task)| (task.failures, Reverse(*index)));
@@ -168,23 +171,23 @@
         self.tasks.iter().all(|task| task.state == TaskState::Done)
     }
 
-    /// Whether a task is on a worker, or may be.
+    /// Whether a task is running on a worker, or may be.
     pub fn has_assigned_tasks(&self) -> bool {
-        let on_worker = |task: &Task| matches!(task.state, TaskState::Assigned(_));
-        self.tasks.iter().any(on_worker)
+        let is_assigned = |task: &Task| matches!(task.state, TaskState::Assigned(_));
+        self.tasks.iter().any(is_assigned)
     }
 
-    /// Longest time that the rest of the job takes, by its estimates.
+    /// Estimated time of the critical path through the unfinished tasks.
     pub fn remaining_ms(&self) -> u64 {
         if let [only] = self.spec.phases.as_slice() {
             return only.estimate_ms;
         }
-        let open = self
+        let unfinished = self
             .tasks
             .iter()
             .filter(|task| task.state != TaskState::Done);
         let mut phases_ms = vec![0_u64; self.spec.phases.len()];
-        for task in open {
+        for task in unfinished {
             phases_ms[usize::from(task.phase)] = self.phase(task).estimate_ms;
         }
         for phase in 0..phases_ms.len() {
@@ -195,19 +198,18 @@
         phases_ms.into_iter().max().unwrap_or(0)
     }
 
-    /// Whether an answer can no longer be of use: the caller will have left, or
-    /// the late objective has passed by far. Estimates are off by half.
+    /// Whether an answer can no longer be useful: the caller will have stopped waiting,
+    /// or the late objective was missed by far. Estimates may be twice too high.
     pub fn is_expired(&self, now_ms: u64) -> bool {
         now_ms + self.remaining_ms() / 2 > self.caller_deadline_ms() || now_ms > self.expiry_ms()
     }
 
-    /// From when on its answer is surely of no use, even if its work is
-    /// underestimated.
+    /// When an answer is of no use, even if the job's work was underestimated.
     pub fn expiry_ms(&self) -> u64 {
-        self.objective_ms(LATE_FACTOR * HOPELESS_FACTOR)
+        self.objective_ms(LATE_FACTOR * EXPIRY_FACTOR)
     }
 
-    /// When the caller stops waiting for its answer.
+    /// When the caller stops waiting for the answer.
     pub fn caller_deadline_ms(&self) -> u64 {
         match self.spec.patience_ms {
             0 => u64::MAX,
@@ -215,15 +217,15 @@
         }
     }
 
-    /// Processor that its waiting tasks take together, thousandths of a core:
-    /// those of phases that may begin.
+    /// CPU demand of the waiting tasks whose phases may start, in thousandths of a
+    /// core.
     pub fn waiting_millicores(&self) -> u64 {
         let tasks = self.tasks.iter().filter(|task| task.is_waiting());
         let ready = tasks.filter(|task| self.is_phase_ready(usize::from(task.phase)));
         ready.map(|task| self.phase(task).cpu_millicores).sum()
     }
 
-    /// Work that is not begun, by its estimates: thousandths of a core times
+    /// Estimated work of the waiting tasks, in thousandths of a core times
     /// milliseconds.
     pub fn waiting_millicore_ms(&self) -> u64 {
         let tasks = self.tasks.iter().filter(|task| task.is_waiting());
@@ -232,16 +234,16 @@
         work.sum()
     }
 
-    /// When the caller's objective passes, by the estimates.
-    pub fn objective_ms(&self, times: f64) -> u64 {
-        let chain_ms = chain_ms(&self.spec.phases) as f64;
-        let objective_ms = self.spec.stretch * chain_ms + self.spec.slo_ms as f64;
-        self.arrived_ms + (objective_ms * times) as u64
+    /// When `factor` times the latency objective has passed since the submission.
+    pub fn objective_ms(&self, factor: f64) -> u64 {
+        let critical_path_ms = critical_path_ms(&self.spec.phases) as f64;
+        let objective_ms = self.spec.stretch * critical_path_ms + self.spec.slo_ms as f64;
+        self.arrived_ms + (objective_ms * factor) as u64
     }
 }
 
-/// The longest chain of estimates through the phases.
-fn chain_ms(phases: &[Phase]) -> u64 {
+/// Estimated time of the critical path through the phases.
+fn critical_path_ms(phases: &[Phase]) -> u64 {
     if let [only] = phases {
         return only.estimate_ms;
     }
--- a/crates/core/src/dispatch/order.rs
+++ b/crates/core/src/dispatch/order.rs
@@ -1,4 +1,4 @@
-//! Orders to workers and what became of them.
+//! Orders to workers and their outcomes.
 
 use std::sync::Arc;
 
@@ -7,126 +7,126 @@
 use super::fence::Fence;
 
 new_key_type! {
-    /// A worker that an owner knows.
+    /// Key of a worker in its owner's table.
     pub struct WorkerKey;
-    /// A job that an owner has.
+    /// Key of a job in its owner's table.
     pub struct JobKey;
 }
 
-/// Where an order goes.
+/// The worker that an order is for.
 #[derive(Clone, Debug)]
 pub struct Target {
-    /// The worker's place in its owner's table.
+    /// Key in the owner's table.
     pub worker: WorkerKey,
-    /// The life of the worker that is meant.
+    /// Identifies one incarnation of the worker.
     pub worker_id: Arc<str>,
     /// `ip:port`.
     pub address: Arc<str>,
-    /// The sender's right to order it.
+    /// Fencing token of the sender.
     pub fence: Fence,
 }
 
 /// Starts one run of a task.
 #[derive(Clone, Debug)]
 pub struct StartOrder {
-    /// Where it goes.
+    /// The worker.
     pub target: Target,
     /// Name of the task.
     pub task: Arc<str>,
-    /// Number of this run; larger than of all earlier runs of the task.
+    /// Higher than for all earlier runs of the task.
     pub run_id: u64,
-    /// What the caller gave for the tasks of the job.
+    /// The caller's specification of the job's tasks.
     pub spec: Arc<str>,
-    /// End of the lease of all that runs there, by the worker's clock.
+    /// When the lease of all runs on the worker expires, by the worker's clock.
     pub deadline_ms: u64,
-    /// After this time its answer is given up on.
+    /// Timeout of the call.
     pub answer_timeout_ms: u64,
 }
 
 /// Stops one run.
 #[derive(Clone, Debug)]
 pub struct StopOrder {
-    /// Where it goes.
+    /// The worker.
     pub target: Target,
     /// Name of the task.
     pub task: Arc<str>,
-    /// Number of the run.
+    /// Run of the task.
     pub run_id: u64,
-    /// After this time its answer is given up on.
+    /// Timeout of the call.
     pub answer_timeout_ms: u64,
 }
 
-/// Renews the lease, acknowledges ends, asks what runs and what has ended.
+/// Renews the lease, acknowledges completions and requests the worker's runs and
+/// further completions.
 #[derive(Clone, Debug)]
 pub struct RenewOrder {
-    /// Where it goes.
+    /// The worker.
     pub target: Target,
-    /// Tells the holds of one worker apart.
+    /// Unique among the renewals sent to the worker.
     pub number: u64,
-    /// End of the lease by the worker's clock; none renews nothing.
+    /// When the lease expires by the worker's clock; `None` renews nothing.
     pub deadline_ms: Option<u64>,
-    /// Number of the last end that was taken in.
+    /// Number of the last completion that was processed.
     pub acked_completion: u64,
-    /// How long the answer may wait for something to end.
+    /// How long the worker may delay the answer until a run ends.
     pub wait_ms: u64,
-    /// After this time more its answer is given up on.
+    /// Timeout of the call, in addition to `wait_ms`.
     pub answer_timeout_ms: u64,
 }
 
-/// How a worker took a start or a stop.
+/// Outcome of a start or stop order.
 #[derive(Clone, Copy, derive_more::Debug, PartialEq, Eq)]
 pub enum OrderOutcome {
-    /// Done. The worker's clock stood at `clock_ms`.
+    /// The order was carried out.
     Done {
-        /// Milliseconds of the worker's clock.
+        /// Reading of the worker's clock, in milliseconds.
         clock_ms: u64,
     },
-    /// Not done: the fence was outranked.
+    /// Not carried out: the worker has seen a higher fence.
     Fenced,
-    /// Not done, for another reason that the worker gave.
+    /// Not carried out, for another reason that the worker gave.
     Rejected(Rejection),
-    /// Not done: another life of the worker answered.
+    /// Not carried out: another incarnation of the worker answered.
     #[debug("OtherLife")]
     WrongIncarnation,
-    /// Unknown: it may have been done, or may be done yet.
+    /// Unknown: it may have been carried out, or may still be.
     NoAnswer,
 }
 
-/// Why a worker did not do what it was told.
+/// Why a worker rejected an order.
 #[derive(Clone, Copy, derive_more::Debug, PartialEq, Eq)]
 pub enum Rejection {
-    /// The run is not newer than one that it knows to be over.
+    /// The run is not newer than one that has ended.
     OldRun,
     /// The deadline had passed when the order arrived.
     Late,
-    /// The task does not fit.
+    /// The task does not fit into the free resources.
     #[debug("NoRoom")]
     NoCapacity,
-    /// It is unhealthy.
+    /// The worker is unhealthy.
     Unhealthy,
-    /// It cannot read the order.
+    /// The worker cannot parse the order.
     Invalid,
 }
 
-/// One run that a worker lists.
+/// A run that a worker lists.
 #[derive(Clone, Debug, PartialEq, Eq)]
+#[expect(missing_docs, reason = "fields explain themselves")]
 pub struct ListedRun {
-    /// Name of the task.
     pub task: Arc<str>,
-    /// Number of the run.
     pub run_id: u64,
 }
 
-/// One end that a worker lists.
+/// A finished run that a worker lists.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RunCompletion {
-    /// Counts the ends of this life of the worker, from 1.
+    /// Consecutive number among the completions of this incarnation, from 1.
     pub number: u64,
     /// Name of the task.
     pub task: Arc<str>,
-    /// Number of the run.
+    /// Run of the task.
     pub run_id: u64,
-    /// How it ended.
+    /// How the run ended.
     pub outcome: RunOutcome,
 }
 
@@ -135,33 +135,33 @@
 pub enum RunOutcome {
     /// The task is done.
     Done,
-    /// It failed, by its own fault or the worker's.
+    /// It failed, because of the task or the worker.
     Failed,
     /// It was stopped by an order.
     Stopped,
-    /// Its lease lapsed, or it ended for a reason that is no fault of the task.
+    /// Its lease expired, or it ended for another reason unrelated to the task.
     #[debug("Lapsed")]
     LeaseExpired,
 }
 
-/// How a worker answered a hold.
+/// Outcome of a renewal.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum RenewOutcome {
-    /// What runs and what has ended there.
+    /// The lease is renewed.
     Renewed {
-        /// Milliseconds of the worker's clock.
+        /// Reading of the worker's clock, in milliseconds.
         clock_ms: u64,
-        /// All that runs.
+        /// All current runs.
         running: Vec<ListedRun>,
-        /// Ends beyond those acknowledged, oldest first.
+        /// Completions that are not acknowledged yet, oldest first.
         completions: Vec<RunCompletion>,
     },
-    /// The fence was outranked.
+    /// The worker has seen a higher fence.
     Fenced,
-    /// Another life of the worker answered.
+    /// Another incarnation of the worker answered.
     WrongIncarnation,
-    /// It answered that it cannot.
+    /// The worker answered that it is unhealthy.
     Unhealthy,
-    /// No answer.
+    /// The call failed or timed out.
     NoAnswer,
 }
--- a/crates/core/src/dispatch/retirement.rs
+++ b/crates/core/src/dispatch/retirement.rs
@@ -1,56 +1,58 @@
-//! Closing a link that neither side needs any more.
+//! Graceful closing of links that neither side needs.
 //!
-//! A link whose peer is no longer desired is drained first: this side delegates
-//! no further jobs over it and, once its own have ended, offers the peer to close
-//! it. The peer closes it as soon as the same is true there, or keeps it for as
-//! long as it needs the link. So no job is ever on a link that is closed on
-//! purpose, and such an end says nothing about the peer.
+//! A link to a peer that is no longer desired is drained first: this side delegates
+//! no further jobs over it and, once its own jobs have ended, offers to close it. The
+//! peer closes the link when it has drained its side, or keeps it while it needs
+//! it. No job is therefore in progress on a link that is closed this way, and the
+//! close is not taken for a failure of the peer.
 //!
-//! Only the side that dialed begins: the other one may be needed by it.
+//! Only the dialing side starts this, because the accepting side cannot know whether
+//! its peer needs the link.
 
-/// Time without need after which a link is drained: pools change their owners for
-/// a moment and change back.
+/// How long a link must be unneeded before it is drained. A pool may change its owner
+/// for a moment and change back.
 const UNNEEDED_MS: u64 = 5000;
 
 /// Which side opened a link.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Side {
-    /// This one.
+    /// This instance.
     Dialed,
     /// The peer.
     Accepted,
 }
 
-/// What is to be done about a link.
+/// Next action to retire a link.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Step {
-    /// Tell the peer that this side does not need it.
+    /// Tell the peer that this side does not need the link.
     Offer,
-    /// Close it: the peer does not need it either.
+    /// Close the link: the peer does not need it either.
     Close,
 }
 
-/// How far a link is on its way to be closed.
+/// Retirement state of one link.
 #[derive(Clone, Copy, Debug)]
 pub struct Retirement {
     side: Side,
     /// When the peer was last desired.
-    desired_ms: u64,
+    last_desired_ms: u64,
     is_draining: bool,
+    /// This side has offered to close the link.
     is_offered: bool,
-    /// The peer has offered to close it.
-    is_released: bool,
+    /// The peer has offered to close the link.
+    is_offered_by_peer: bool,
 }
 
 impl Retirement {
-    /// Of a link that opened at `now_ms`, milliseconds of the instance's clock.
+    /// State of a link that opened at `now_ms`, in milliseconds of the instance's clock.
     pub fn new(now_ms: u64, side: Side) -> Self {
         Self {
             side,
-            desired_ms: now_ms,
+            last_desired_ms: now_ms,
             is_draining: false,
             is_offered: false,
-            is_released: false,
+            is_offered_by_peer: false,
         }
     }
 
@@ -69,32 +71,33 @@
         self.is_offered
     }
 
-    /// Notes whether the peer is desired now.
+    /// Records whether the peer is desired now.
     pub fn observe(&mut self, now_ms: u64, is_desired: bool) {
         if is_desired {
-            self.desired_ms = now_ms;
+            self.last_desired_ms = now_ms;
             self.is_draining &= self.is_offered;
             return;
         }
-        let is_unneeded = self.side == Side::Dialed && now_ms >= self.desired_ms + UNNEEDED_MS;
-        self.is_draining |= is_unneeded || self.is_released;
+        let is_unneeded = self.side == Side::Dialed && now_ms >= self.last_desired_ms + UNNEEDED_MS;
+        self.is_draining |= is_unneeded || self.is_offered_by_peer;
     }
 
-    /// Takes in that the peer does not need the link.
+    /// Records that the peer has offered to close the link.
     pub fn released_by_peer(&mut self) {
-        self.is_released = true;
+        self.is_offered_by_peer = true;
     }
 
-    /// The next step of this side, which has jobs under way over the link or not.
+    /// The next step; `has_jobs` is whether jobs of this side are in progress over the
+    /// link.
     pub fn next_step(&self, has_jobs: bool) -> Option<Step> {
-        match (self.is_draining && !has_jobs, self.is_released) {
+        match (self.is_draining && !has_jobs, self.is_offered_by_peer) {
             (true, true) => Some(Step::Close),
             (true, false) if !self.is_offered => Some(Step::Offer),
             _ => None,
         }
     }
 
-    /// Notes that the peer has been told.
+    /// Records that the offer has been sent.
     pub fn offered(&mut self) {
         self.is_offered = true;
     }
--- a/crates/core/src/dispatch/worker.rs
+++ b/crates/core/src/dispatch/worker.rs
@@ -1,10 +1,10 @@
-//! What an owner knows of one worker.
+//! An owner's state of one worker.
 //!
-//! A worker's room is what its capacity leaves beside every run that *may* be
-//! there: one that was ordered and not answered, one that is being stopped,
-//! one of an earlier owner. A run leaves the table only when the worker lists
-//! its end, when a hold under a newer fence shows that it is not there, when
-//! the worker's life is over, or when its lease has lapsed.
+//! The free resources of a worker are its capacity minus the resources of every run
+//! that *may* be there, including runs whose start is unanswered, that are being
+//! stopped, or that an earlier owner started. A run is removed only when the worker
+//! lists its completion, when a renewal under a newer fence does not list it, when
+//! the worker's incarnation has ended, or when its lease has expired.
 
 use std::collections::BTreeSet;
 use std::sync::Arc;
@@ -16,10 +16,10 @@
 };
 use super::order::JobKey;
 
-/// What the platform's registry says of a worker.
+/// A worker's entry in the platform's registry.
 #[derive(Clone, Debug, PartialEq)]
 pub struct WorkerRecord {
-    /// Names one life of the worker.
+    /// Identifies one incarnation of the worker.
     pub id: Arc<str>,
     /// `ip:port`.
     pub address: Arc<str>,
@@ -27,34 +27,32 @@
     pub failure_domain: Arc<str>,
     /// Service whose tasks it runs.
     pub service: Arc<str>,
-    /// Whether it leaves soon and takes nothing new.
+    /// Whether it is about to leave and accepts no new tasks.
     pub draining: bool,
-    /// Room for tasks.
+    /// Total resources for tasks.
     pub capacity: Resources,
-    /// Its kind, its rack.
+    /// Labels for its kind and its rack.
     pub labels: BTreeSet<Arc<str>>,
 }
 
 /// Resources of a worker or a task.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
+#[expect(missing_docs, reason = "fields explain themselves")]
 pub struct Resources {
-    /// Thousandths of a core.
     pub cpu_millicores: u64,
-    /// Megabytes of memory.
     pub memory_mb: u64,
-    /// Accelerators.
     pub gpus: u64,
 }
 
 impl Resources {
-    /// Whether `other` fits into this.
+    /// Whether `other` fits into these resources.
     pub fn fits(&self, other: &Self) -> bool {
         self.cpu_millicores >= other.cpu_millicores
             && self.memory_mb >= other.memory_mb
             && self.gpus >= other.gpus
     }
 
-    /// Both together.
+    /// The sum.
     #[must_use]
     pub fn plus(&self, other: &Self) -> Self {
         Self {
@@ -64,7 +62,7 @@
         }
     }
 
-    /// What is left without `other`.
+    /// The difference, with a minimum of 0 for each resource.
     #[must_use]
     pub fn minus(&self, other: &Self) -> Self {
         Self {
@@ -75,26 +73,26 @@
     }
 }
 
-/// How far a run has come.
+/// State of a run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RunState {
-    /// Ordered under this fence; the answer is awaited.
+    /// The start was ordered with this fence and is not answered yet.
     Starting(Fence),
-    /// The start was answered, or a hold listed it.
+    /// The start was answered, or a renewal listed the run.
     Running,
     /// A stop was ordered.
     Stopping {
-        /// When, milliseconds of the steady clock.
+        /// When, in milliseconds of the monotonic clock.
         ordered_ms: u64,
     },
 }
 
-/// Whose run it is.
+/// What a run belongs to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RunOwner {
-    /// A task of a job here, by its position.
+    /// The task with this index of a job.
     Task(JobKey, usize),
-    /// Nobody's here: an earlier owner's, or of a job that ended meanwhile.
+    /// No job: an earlier owner started it, or its job has ended.
     Orphan {
         /// When it is stopped if no job claims it.
         stop_at_ms: u64,
@@ -104,109 +102,110 @@
 /// A run that may be on the worker.
 #[derive(Clone, Debug)]
 pub struct Run {
-    /// Name of its task.
+    /// Name of the task.
     pub task: Arc<str>,
-    /// Its number.
+    /// Id of the run.
     pub run_id: u64,
-    /// Whose it is.
+    /// What it belongs to.
     pub owner: RunOwner,
-    /// How far it has come.
+    /// Current state.
     pub state: RunState,
-    /// What it takes; unknown of an earlier owner's runs.
+    /// Resources that it uses; unknown for runs of an earlier owner.
     pub resources: Option<Resources>,
     /// When its start was ordered.
     pub ordered_ms: u64,
-    /// When it was first known to be there, by an answer.
+    /// When an answer first showed that it is on the worker.
     pub confirmed_ms: u64,
-    /// How long it should take on a worker of common speed.
+    /// Estimated run time on a worker of average speed.
     pub estimate_ms: u64,
-    /// How long it should take here.
+    /// Estimated run time on this worker.
     pub expected_ms: u64,
-    /// How long it may take before something is done about it.
+    /// When action is taken if it has not ended.
     pub timeouts: RunTimeouts,
 }
 
-/// How long a run may take.
+/// Timeouts of a run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RunTimeouts {
-    /// After this time its end should have been told: the worker is asked.
+    /// Time after which the worker is polled for the completion.
     pub check_ms: u64,
-    /// After this time it is taken for stalled.
+    /// Time after which the run is considered stalled.
     pub stall_ms: u64,
 }
 
-/// Whether the worker can be ordered.
+/// Whether the worker accepts orders of this owner.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FencingState {
-    /// It has not yet answered a hold under the present fence.
+    /// No renewal has been answered under the current fence.
     Unfenced,
-    /// It has; what runs there is known.
+    /// A renewal has been answered; the worker's runs are known.
     Fenced,
-    /// Another owner outranks this one.
+    /// The worker has seen a higher fence of another owner.
     Superseded,
 }
 
-/// The hold that is on its way or open at the worker.
+/// The renewal that is waiting for its answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct OpenRenewal {
-    /// Tells it apart from earlier ones.
+    /// Unique among the renewals sent to the worker.
     pub number: u64,
-    /// Fence that it went out with.
+    /// Fence that it was sent with.
     pub fence: Fence,
-    /// Last end that it acknowledges.
+    /// Number of the last completion that it acknowledges.
     pub acked_completion: u64,
     /// When it was sent.
     pub sent_ms: u64,
-    /// How long its answer may wait for something to end.
+    /// How long the worker may delay the answer until a run ends.
     pub wait_ms: u64,
 }
 
-/// One worker of an owner.
+/// A worker of an owner.
 #[derive(Clone, Debug)]
 pub struct Worker {
-    /// What the registry says.
+    /// Last entry in the registry.
     pub record: WorkerRecord,
-    /// Since when the registry lists it no more.
+    /// Since when the registry has not listed it.
     pub unlisted_since_ms: Option<u64>,
-    /// Highest fence used there.
+    /// Highest fence used for it.
     pub fence: Fence,
-    /// Whether it can be ordered.
+    /// Whether it accepts orders.
     pub fencing: FencingState,
-    /// Whether the owner may use it: a successor would know that it did.
+    /// Whether tasks may be started there: the stored roster must name the worker, so
+    /// that a successor knows that it may have runs of this owner.
     pub in_stored_roster: bool,
-    /// What may run there.
+    /// Runs that may be there.
     pub runs: Vec<Run>,
-    /// The hold that is open, if any.
+    /// The renewal that is waiting for its answer.
     pub renewal: Option<OpenRenewal>,
-    /// Holds sent so far.
+    /// Number of renewals sent.
     pub renewals_sent: u64,
-    /// Whether it is to be asked at once what runs there, beside the open hold.
+    /// Whether to poll its runs at once, in addition to the open renewal.
     pub poll_due: bool,
-    /// Holds without an answer since the last one that had one.
+    /// Number of unanswered renewals since the last answered one.
     pub unanswered_renewals: u32,
-    /// When a hold was last answered.
+    /// When a renewal was last answered.
     pub last_heard_ms: u64,
-    /// Whether the last hold had no answer: leases are not renewed blindly,
-    /// or what runs there would never be known to have lapsed.
+    /// Whether the last renewal was not answered. Until one is, renewals do not extend
+    /// the lease: otherwise the runs there would never be certain to have expired.
     pub last_renewal_unanswered: bool,
-    /// No call goes there before this instant.
+    /// Earliest time of the next call.
     pub backoff_until_ms: u64,
-    /// Number of the last end taken in.
+    /// Number of the last completion that was processed.
     pub last_completion: u64,
-    /// Number of the last end that an answered hold has acknowledged.
+    /// Number of the last completion that an answered renewal has acknowledged.
     pub acked_completion: u64,
-    /// When the last end was taken in.
+    /// When the last completion was processed.
     pub last_completion_ms: u64,
-    /// Its clock, and the instant of its reading.
+    /// Last reading of its clock, and when it was read.
     clock: Option<(u64, u64)>,
-    /// When all leases granted so far have lapsed.
+    /// When all leases granted so far have expired.
     pub leases_expire_ms: u64,
-    /// Recent evidence on it.
+    /// Recent failures and speed.
     pub health: WorkerHealth,
 }
 
 impl Worker {
-    /// A worker that this owner has not yet talked to.
+    /// Creates a worker that this owner has not called yet.
     pub fn new(record: WorkerRecord, fence: Fence) -> Self {
         Self {
             record,
@@ -231,25 +230,25 @@
         }
     }
 
-    /// Room beside all that may run there; none with a run of unknown size.
+    /// Capacity that no run may be using; zero if the resources of a run are unknown.
     pub fn free_resources(&self) -> Resources {
         let mut free = self.record.capacity;
         for run in &self.runs {
             match run.resources {
-                Some(room) => free = free.minus(&room),
+                Some(used) => free = free.minus(&used),
                 None => return Resources::default(),
             }
         }
         free
     }
 
-    /// Whether the registry has not listed it for so long that it has left.
+    /// Whether it has been missing from the registry for longer than the grace period.
     pub fn has_left(&self, now_ms: u64) -> bool {
         let since_ms = self.unlisted_since_ms;
         since_ms.is_some_and(|since_ms| now_ms >= since_ms + UNLISTED_GRACE_MS)
     }
 
-    /// Whether new tasks may go there.
+    /// Whether new tasks may be started there.
     pub fn accepts_tasks(&self, now_ms: u64) -> bool {
         self.fencing == FencingState::Fenced
             && self.in_stored_roster
@@ -258,8 +257,8 @@
             && self.health.allows_task(now_ms, self.runs.len())
     }
 
-    /// Whether new tasks may go there, or may once it has answered a call that
-    /// is on its way.
+    /// Whether new tasks may be started there, or can be once it has answered a call
+    /// that is in progress.
     pub fn accepts_tasks_soon(&self, now_ms: u64) -> bool {
         self.fencing != FencingState::Superseded
             && !self.last_renewal_unanswered
@@ -268,7 +267,7 @@
             && !self.health.is_on_probation()
     }
 
-    /// A hold had no answer: when the next one may go out.
+    /// Records a renewal without an answer, and backs off.
     pub fn record_unanswered_renewal(&mut self, now_ms: u64) {
         let pause_ms = RETRY_BACKOFF_MIN_MS << self.unanswered_renewals.min(8);
         self.unanswered_renewals += 1;
@@ -279,13 +278,13 @@
         self.backoff_until_ms = now_ms + pause_ms.min(longest_ms);
     }
 
-    /// Position of a run.
+    /// Index of a run.
     pub fn position(&self, task: &str, run_id: u64) -> Option<usize> {
         let same = |run: &Run| run.run_id == run_id && &*run.task == task;
         self.runs.iter().position(same)
     }
 
-    /// Takes in a reading of its clock.
+    /// Records a reading of its clock; one behind the known lower bound is ignored.
     pub fn observe_clock(&mut self, now_ms: u64, clock_ms: u64) {
         let known_ms = self.clock_ms(now_ms);
         if known_ms.is_none_or(|known_ms| clock_ms > known_ms) {
@@ -293,54 +292,57 @@
         }
     }
 
-    /// A lower bound of its clock; none before its first answer.
+    /// Lower bound of its current clock; `None` before its first answer.
     pub fn clock_ms(&self, now_ms: u64) -> Option<u64> {
         let (clock_ms, read_ms) = self.clock?;
         let since_ms = now_ms.saturating_sub(read_ms) as f64;
         Some(clock_ms + (since_ms * (1.0 - CLOCK_DRIFT_MAX)) as u64)
     }
 
-    /// A deadline for an order that goes out now, and notes the lease of
-    /// `lease_ms`, cut by `cut_ms`; none where nothing is left of it.
-    pub fn extend_lease(&mut self, now_ms: u64, lease_ms: u64, cut_ms: u64) -> Option<u64> {
-        let lease_ms = lease_ms.checked_sub(cut_ms)?;
+    /// Records a lease of `lease_ms`, shortened by `reduction_ms`, and returns its
+    /// deadline on the worker's clock; `None` if nothing is left of it or the clock is
+    /// unknown.
+    pub fn extend_lease(&mut self, now_ms: u64, lease_ms: u64, reduction_ms: u64) -> Option<u64> {
+        let lease_ms = lease_ms.checked_sub(reduction_ms)?;
         let deadline_ms = self.clock_ms(now_ms)? + lease_ms;
         let longest_ms = (lease_ms as f64 / (1.0 - CLOCK_DRIFT_MAX)) as u64 + 1;
         self.leases_expire_ms = self.leases_expire_ms.max(now_ms + longest_ms);
         Some(deadline_ms)
     }
 
-    /// Asks it at once what runs there, unless that is being asked.
+    /// Requests a poll of its runs, unless one is in progress.
     pub fn request_poll(&mut self) {
-        self.poll_due = self.renewal.is_none_or(|hold| hold.wait_ms > 0);
+        self.poll_due = self.renewal.is_none_or(|renewal| renewal.wait_ms > 0);
     }
 
-    /// Raises the fence: earlier orders of unknown fate die with the next hold.
+    /// Raises the fence, so that the next answered renewal invalidates all earlier orders
+    /// whose outcome is unknown.
     pub fn raise_fence(&mut self) {
         self.fence = self.fence.raised();
         self.fencing = FencingState::Unfenced;
     }
 }
 
-/// Pause of a worker after its first failure; doubles with each further one.
-const PROBATION_MS: u64 = 250;
-/// Longest pause.
-const PROBATION_MAX_MS: u64 = 4000;
-/// Weight of the newest run in the average of speed.
-const SPEED_WEIGHT: f64 = 0.2;
-/// Bounds of the learned factor on run times.
-const SLOWNESS: std::ops::RangeInclusive<f64> = 0.5..=12.0;
-
-/// Evidence on a worker: outcomes and run times.
+/// Time without new tasks after a worker's first failure; doubles with each further
+/// one.
+const PAUSE_MS: u64 = 250;
+/// Maximum time without new tasks.
+const PAUSE_MAX_MS: u64 = 4000;
+/// Weight of the latest run in the moving average of the slowdown.
+const SLOWDOWN_WEIGHT: f64 = 0.2;
+/// Range of a run's slowdown.
+const SLOWDOWN_RANGE: std::ops::RangeInclusive<f64> = 0.5..=12.0;
+
+/// Health of a worker by the outcomes and times of its runs.
 ///
-/// One failure is enough for a pause, since tasks rarely fail by themselves
-/// and workers that fail everything start everything that they are given.
-/// After the pause one task at a time goes there until one is done.
+/// A single failure puts the worker on probation, because tasks rarely fail by
+/// themselves, and a broken worker accepts every task. It gets no tasks for a while,
+/// and then one at a time until one succeeds.
 #[derive(Clone, Debug)]
 pub struct WorkerHealth {
     failures: u32,
     paused_until_ms: u64,
-    /// Run times there against the estimates; 1 is as estimated.
+    /// Moving average of the run time divided by its estimate.
     pub slowdown: f64,
 }
 
@@ -355,36 +357,36 @@
 }
 
 impl WorkerHealth {
-    /// Whether one more task may go there beside `runs` others.
+    /// Whether a task may be started in addition to `runs` others.
     pub fn allows_task(&self, now_ms: u64, runs: usize) -> bool {
         self.failures == 0 || (now_ms >= self.paused_until_ms && runs == 0)
     }
 
-    /// Whether it has failed since it last got a task done.
+    /// Whether a task has failed since the last success.
     pub fn is_on_probation(&self) -> bool {
         self.failures > 0
     }
 
-    /// A task was done there that takes `estimate_ms` at common speed.
+    /// Records a success; `estimate_ms` is the run time on a worker of average speed.
     pub fn record_success(&mut self, estimate_ms: u64, took_ms: u64) {
         self.failures = 0;
         let ratio = took_ms as f64 / (estimate_ms.max(1) as f64);
-        let ratio = ratio.clamp(*SLOWNESS.start(), *SLOWNESS.end());
-        self.slowdown += SPEED_WEIGHT * (ratio - self.slowdown);
+        let ratio = ratio.clamp(*SLOWDOWN_RANGE.start(), *SLOWDOWN_RANGE.end());
+        self.slowdown += SLOWDOWN_WEIGHT * (ratio - self.slowdown);
     }
 
-    /// Its only failure lately was its job's fault. Several are its own: they
-    /// are of several jobs.
+    /// Clears a failure that its job caused. Several failures stay: they are of different
+    /// jobs.
     pub fn clear_single_failure(&mut self) {
         if self.failures == 1 {
             self.failures = 0;
         }
     }
 
-    /// A task failed or stalled there.
+    /// Records a failed or stalled task.
     pub fn record_failure(&mut self, now_ms: u64) {
-        let pause_ms = PROBATION_MS << self.failures.min(8);
+        let pause_ms = PAUSE_MS << self.failures.min(8);
         self.failures += 1;
-        self.paused_until_ms = now_ms + pause_ms.min(PROBATION_MAX_MS);
+        self.paused_until_ms = now_ms + pause_ms.min(PAUSE_MAX_MS);
     }
 }
