--- a/crates/core/src/dispatch/entry.rs
+++ b/crates/core/src/dispatch/entry.rs
@@ -1,19 +1,19 @@
-//! Callers' jobs at the instance that they reached.
+//! Callers' jobs at the instance that they were submitted to.
 //!
-//! An entry keeps a job until it has an answer, delegates it to one owner at a
-//! time, and delegates it anew when that owner is lost: at once to the next
-//! owner of the same workers, which sees what runs there, and to any other
-//! owner only after nothing of it can run any more.
+//! An entry keeps a job until it is answered and delegates it to one owner at a time.
+//! When that owner is lost, the job is delegated again: at once to the next owner of
+//! the same pool, which sees what runs on its workers, but to an owner of another pool
+//! only after all runs of the job must have ended.
 //!
-//! * [`command`]: what is decided.
-//! * [`choice`]: the pool for a job.
-//! * [`losses`]: jobs that are taken back.
-//! * [`refusal`]: jobs that are refused, or given up.
+//! * [`command`]: commands and answers.
+//! * [`pool_selection`]: selects the pool for a job.
+//! * [`revocation`]: revokes jobs from owners.
+//! * [`refusal`]: jobs that are refused or abandoned.
 
-mod choice;
 mod command;
-mod losses;
+mod pool_selection;
 mod refusal;
+mod revocation;
 
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
@@ -23,18 +23,15 @@
 use super::owner::JobResult;
 use super::ownership::holder_of;
 
-use choice::{choose, width_of, work_of};
-use refusal::{CLOSED, Refusal};
+use pool_selection::{PoolView, initial_millicores, select_pool, total_millicore_ms};
+use refusal::{ALL_CLOSED, Refusal};
 
-pub use choice::PoolView;
 pub use command::{Answer, Command, PoolOwner, RequestId, RevocationCause};
 
-/// Where a job is.
 #[derive(Clone, Debug, PartialEq)]
-enum Place {
-    /// Here, for an owner to be found.
+enum JobState {
+    /// Not delegated to any owner.
     Waiting,
-    /// At the owner of a pool.
     Delegated(PoolOwner),
 }
 
@@ -44,53 +41,51 @@
     waiters: Vec<RequestId>,
     arrived_ms: u64,
     deadline_ms: u64,
-    place: Place,
+    state: JobState,
     waiting_since_ms: u64,
     unsafe_until_ms: u64,
-    /// Pool of the owners whose runs may go on until then.
+    /// Pool in which runs may continue until `unsafe_until_ms`.
     unsafe_pool: String,
-    /// The only ownership under which these were started; none where there are
-    /// several.
+    /// The ownership that started these runs; `None` if there were several.
     unsafe_holder: Option<Holder>,
-    /// The ownership that it is under, or was last.
+    /// The current or last ownership that the job was delegated to.
     holder: Option<Holder>,
-    /// Whether an owner was lost that may have started it.
+    /// Whether an owner that may have started tasks was lost.
     may_have_run: bool,
     /// Pools whose owners have refused it.
     refused_by: Vec<String>,
-    /// The last refusal, while it waits for another pool.
+    /// The last refusal, while the job waits for another pool.
     refusal: Option<Refusal>,
 }
 
-/// The jobs that callers of this instance await.
+/// The unanswered jobs of this instance's callers.
 #[derive(Debug, Default)]
 pub struct Entry {
-    home: String,
+    local_domain: String,
     jobs: HashMap<String, EntryJob>,
     requests: HashMap<RequestId, String>,
     pools: BTreeMap<String, PoolView>,
-    /// Pools of the own failure domain that this entry uses once they have
-    /// owners.
-    home_pools: Vec<String>,
-    /// Failure domains that have pools; none before they are known.
+    /// Pools of the local failure domain that this entry uses, with or without owner.
+    local_pools: Vec<String>,
+    /// Failure domains that have pools; empty until they are known.
     failure_domains: BTreeSet<String>,
 }
 
 impl Entry {
-    /// An entry in a failure domain.
-    pub fn new(home: &str) -> Self {
+    /// Creates an entry of an instance in `local_domain`.
+    pub fn new(local_domain: &str) -> Self {
         Self {
-            home: home.to_owned(),
+            local_domain: local_domain.to_owned(),
             ..Self::default()
         }
     }
 
-    /// Takes in which failure domains have pools.
+    /// Sets the failure domains that have pools.
     pub fn set_failure_domains(&mut self, names: impl Iterator<Item = String>) {
         self.failure_domains = names.collect();
     }
 
-    /// Takes in a caller's job.
+    /// Accepts a caller's job, or adds the caller to the same job if it is known.
     pub fn submit(
         &mut self,
         now_ms: u64,
@@ -114,7 +109,7 @@
             waiters: vec![request_id],
             arrived_ms: now_ms,
             deadline_ms,
-            place: Place::Waiting,
+            state: JobState::Waiting,
             waiting_since_ms: now_ms,
             unsafe_until_ms: now_ms,
             unsafe_pool: String::new(),
@@ -126,10 +121,10 @@
         };
         self.requests.insert(request_id, id.clone());
         self.jobs.insert(id.clone(), job);
-        self.place(now_ms, &id, out);
+        self.try_delegate(now_ms, &id, out);
     }
 
-    /// A caller no longer waits; without any waiter the job is cancelled.
+    /// Removes a caller; a job without callers is cancelled.
     pub fn on_caller_disconnected(&mut self, request_id: RequestId, out: &mut Vec<Command>) {
         let Some(id) = self.requests.remove(&request_id) else {
             return;
@@ -139,21 +134,21 @@
         };
         job.waiters.retain(|&waiter| waiter != request_id);
         if job.waiters.is_empty() {
-            self.drop_job(&id, out);
+            self.cancel(&id, out);
         }
     }
 
-    fn drop_job(&mut self, id: &str, out: &mut Vec<Command>) {
+    fn cancel(&mut self, id: &str, out: &mut Vec<Command>) {
         let Some(job) = self.jobs.remove(id) else {
             return;
         };
-        if let Place::Delegated(to) = job.place {
+        if let JobState::Delegated(to) = job.state {
             let job_id = id.to_owned();
             out.push(Command::Cancel { to, job_id });
         }
     }
 
-    /// Takes in how an owner says that a job ended.
+    /// Handles the result of a job that its owner reports.
     pub fn on_job_ended(
         &mut self,
         now_ms: u64,
@@ -168,28 +163,28 @@
         };
         let known = self.pools.get_mut(&from.pool);
         if let Some(view) = known.filter(|view| view.holder.owner == from.owner) {
-            view.heard_ms = view.heard_ms.max(now_ms);
+            view.last_heard_ms = view.last_heard_ms.max(now_ms);
         }
-        if job.place != Place::Delegated(from.clone()) {
+        if job.state != JobState::Delegated(from.clone()) {
             return;
         }
         match outcome {
             Outcome::Completed => self.answer(id, Answer::Completed, out),
             Outcome::Failed => self.answer(id, Answer::Failed, out),
-            Outcome::NotRun => self.refused(now_ms, from, ending, out),
+            Outcome::NotRun => self.on_refused(now_ms, from, ending, out),
             Outcome::Returned | Outcome::Stopped | Outcome::Lost | Outcome::Unspecified => {
                 if let Some(view) = self.pools.get_mut(&from.pool) {
                     view.load.serving = false;
                 }
-                job_ran(job, outcome);
+                record_may_have_run(job, outcome);
                 let may_run = !matches!(outcome, Outcome::Returned | Outcome::Stopped);
-                self.take_back(now_ms, id, may_run, RevocationCause::Told(outcome), out);
-                self.place(now_ms, id, out);
+                self.revoke(now_ms, id, may_run, RevocationCause::Told(outcome), out);
+                self.try_delegate(now_ms, id, out);
             }
         }
     }
 
-    /// Takes in what an owner tells of its claim and the pool's load.
+    /// Updates a pool's owner and load from a heartbeat of its owner.
     pub fn update_pool(&mut self, now_ms: u64, claim: &Claim, load: Load, out: &mut Vec<Command>) {
         let Some(holder) = holder_of(claim) else {
             return;
@@ -208,34 +203,36 @@
             holder,
             failure_domain: claim.failure_domain.clone(),
             load,
-            heard_ms: now_ms,
-            since_millicore_ms: 0,
-            since_millicores: 0,
+            last_heard_ms: now_ms,
+            delegated_millicore_ms: 0,
+            delegated_millicores: 0,
         };
         self.pools.insert(claim.pool.clone(), view);
         if load.serving && !served {
-            self.place_waiting(now_ms, out);
+            self.delegate_waiting(now_ms, out);
         }
     }
 
-    /// Moves all silence limits by a time in which this process did not run.
+    /// Extends the liveness timeouts of owners by a time during which this process was
+    /// stalled.
     pub fn extend_liveness_timeouts(&mut self, stall_ms: u64) {
         for view in self.pools.values_mut() {
-            view.heard_ms += stall_ms;
+            view.last_heard_ms += stall_ms;
         }
     }
 
-    /// Passes time: jobs that became safe, jobs whose time is over.
+    /// Delegates jobs that have become safe and abandons those that have timed out.
     pub fn tick(&mut self, now_ms: u64, out: &mut Vec<Command>) {
-        self.place_waiting(now_ms, out);
+        self.delegate_waiting(now_ms, out);
         let expired = |job: &EntryJob| {
             let until_ms = match job.refusal {
                 Some(refusal) => refusal.until_ms,
                 None => job.waiting_since_ms + PLACEMENT_TIMEOUT_MS,
             };
-            let unplaced =
-                job.place == Place::Waiting && now_ms >= until_ms && now_ms >= job.unsafe_until_ms;
-            now_ms >= job.deadline_ms || unplaced
+            let is_timed_out = job.state == JobState::Waiting
+                && now_ms >= until_ms
+                && now_ms >= job.unsafe_until_ms;
+            now_ms >= job.deadline_ms || is_timed_out
         };
         let ids: Vec<String> = self
             .jobs
@@ -244,15 +241,15 @@
             .map(|(id, _)| id.clone())
             .collect();
         for id in ids {
-            self.give_up(&id, "its time is over", out);
+            self.abandon(&id, "its time is over", out);
         }
     }
 
-    /// Gives up everything at the end of a planned stop.
+    /// Abandons all jobs at the end of a graceful shutdown.
     pub fn shut_down(&mut self, out: &mut Vec<Command>) {
         let ids: Vec<String> = self.jobs.keys().cloned().collect();
         for id in ids {
-            self.give_up(&id, "the instance ends", out);
+            self.abandon(&id, "the instance ends", out);
         }
     }
 
@@ -266,40 +263,40 @@
         }
     }
 
-    fn place_waiting(&mut self, now_ms: u64, out: &mut Vec<Command>) {
+    fn delegate_waiting(&mut self, now_ms: u64, out: &mut Vec<Command>) {
         let waiting = self.jobs.iter();
-        let waiting = waiting.filter(|(_, job)| job.place == Place::Waiting);
+        let waiting = waiting.filter(|(_, job)| job.state == JobState::Waiting);
         let ids: Vec<String> = waiting.map(|(id, _)| id.clone()).collect();
         for id in ids {
-            self.place(now_ms, &id, out);
+            self.try_delegate(now_ms, &id, out);
         }
     }
 
-    /// The pool for a waiting job, if an owner may have it now: one that was heard
-    /// of lately, or else any.
-    fn pool_for(&self, now_ms: u64, job: &EntryJob) -> Option<String> {
+    /// Selects a pool to which a waiting job may be delegated now. Pools with a recent
+    /// heartbeat are preferred.
+    fn find_pool(&self, now_ms: u64, job: &EntryJob) -> Option<String> {
         let is_safe = now_ms >= job.unsafe_until_ms;
         let serving = self.pools.iter().filter(|(_, view)| view.load.serving);
         let allowed = serving.filter(|(pool, _)| {
             (is_safe || **pool == job.unsafe_pool) && !job.refused_by.contains(pool)
         });
         let allowed: Vec<(&String, &PoolView)> = allowed.collect();
-        let heard = allowed.iter().filter(|(_, view)| !view.is_silent(now_ms));
-        choose(heard.copied(), &self.home, &job.spec)
-            .or_else(|| choose(allowed.iter().copied(), &self.home, &job.spec))
+        let fresh = allowed.iter().filter(|(_, view)| !view.is_stale(now_ms));
+        select_pool(fresh.copied(), &self.local_domain, &job.spec)
+            .or_else(|| select_pool(allowed.iter().copied(), &self.local_domain, &job.spec))
     }
 
-    /// Delegates a waiting job if an owner may have it now.
-    fn place(&mut self, now_ms: u64, id: &str, out: &mut Vec<Command>) {
+    /// Delegates a waiting job if a pool is available for it.
+    fn try_delegate(&mut self, now_ms: u64, id: &str, out: &mut Vec<Command>) {
         let Some(job) = self.jobs.get(id) else {
             return;
         };
-        if job.place != Place::Waiting {
+        if job.state != JobState::Waiting {
             return;
         }
-        let Some(pool) = self.pool_for(now_ms, job) else {
-            if now_ms >= job.unsafe_until_ms && self.is_closed() {
-                self.give_up(id, CLOSED, out);
+        let Some(pool) = self.find_pool(now_ms, job) else {
+            if now_ms >= job.unsafe_until_ms && self.all_domains_closed() {
+                self.abandon(id, ALL_CLOSED, out);
             }
             return;
         };
@@ -310,13 +307,13 @@
         let (Some(job), Some(view)) = (self.jobs.get_mut(id), self.pools.get_mut(&pool)) else {
             return;
         };
-        view.since_millicore_ms += work_of(&job.spec);
-        view.since_millicores += width_of(&job.spec);
+        view.delegated_millicore_ms += total_millicore_ms(&job.spec);
+        view.delegated_millicores += initial_millicores(&job.spec);
         let to = PoolOwner {
             pool,
             owner: view.holder.owner.clone(),
         };
-        job.place = Place::Delegated(to.clone());
+        job.state = JobState::Delegated(to.clone());
         job.holder = Some(view.holder.clone());
         job.refusal = None;
         let mut spec = job.spec.clone();
@@ -324,35 +321,34 @@
         out.push(Command::Delegate {
             to,
             spec,
-            last_heard_ms: now_ms.saturating_sub(view.heard_ms),
+            last_heard_ms: now_ms.saturating_sub(view.last_heard_ms),
             unsafe_for_ms: job.unsafe_until_ms.saturating_sub(now_ms),
             unsafe_holder: job.unsafe_holder.clone(),
         });
     }
 
-    /// Jobs without an answer.
+    /// Number of unanswered jobs.
     pub fn len(&self) -> usize {
         self.jobs.len()
     }
 
-    /// Whether every caller has its answer.
+    /// Whether all jobs are answered.
     pub fn is_empty(&self) -> bool {
         self.jobs.is_empty()
     }
 
-    /// Whether callers get an answer at once: an owner takes jobs, or all say
-    /// that none may be run.
+    /// Whether jobs can be delegated, or are refused because all failure domains are
+    /// closed.
     pub fn is_ready(&self) -> bool {
-        self.is_closed() || self.pools.values().any(|view| view.load.serving)
+        self.all_domains_closed() || self.pools.values().any(|view| view.load.serving)
     }
 
-    /// Whether every failure domain is closed: the owners that are known say so,
-    /// and there is one in each.
+    /// Whether all failure domains are closed.
     ///
-    /// Load pattern: all instances start at once, and the first owners that are
-    /// heard of are in a closed failure domain. Taken for all that there is, they
-    /// would have callers refused whom others can serve.
-    fn is_closed(&self) -> bool {
+    /// An owner must be known in each of them: after a simultaneous start of all
+    /// instances, the first known owners may be in a closed failure domain while
+    /// another one is open.
+    fn all_domains_closed(&self) -> bool {
         let views = self.pools.values();
         let known: BTreeSet<&String> = views.map(|view| &view.failure_domain).collect();
         let knows_all = self.failure_domains.iter().all(|name| known.contains(name));
@@ -361,7 +357,7 @@
     }
 }
 
-/// Notes that something of a job ran, so that it is never said not to have run.
-fn job_ran(job: &mut EntryJob, outcome: Outcome) {
+/// Records whether a job may have run, so that it is never answered as not run.
+fn record_may_have_run(job: &mut EntryJob, outcome: Outcome) {
     job.may_have_run |= outcome != Outcome::Returned;
 }
--- a/crates/core/src/dispatch/entry/command.rs
+++ b/crates/core/src/dispatch/entry/command.rs
@@ -1,90 +1,90 @@
-//! What an entry decides: commands to its shell, and answers to callers.
+//! Commands of an entry, and answers to its callers.
 
 use trefoil_schema::dispatch::{Holder, Job as JobSpec, Outcome};
 
-/// One caller's request.
+/// Identifies a caller's request within the process.
 pub type RequestId = u64;
 
-/// What an entry's shell must do.
+/// A command to be carried out by the instance.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Command {
-    /// Hand a job to an owner.
+    /// Delegate a job to an owner.
     Delegate {
-        /// The pool, and its owner.
+        /// The pool and its owner.
         to: PoolOwner,
-        /// The job; its age counts from the caller's request.
+        /// The job; its age counts from the submission.
         spec: JobSpec,
-        /// Age of what is known of the owner.
+        /// Time since the owner was last heard from.
         last_heard_ms: u64,
-        /// Until then runs of an earlier owner may go on.
+        /// How long runs of an earlier owner may continue.
         unsafe_for_ms: u64,
-        /// The only ownership whose runs these can be, where there is one.
+        /// The ownership that started these runs, if there is only one.
         unsafe_holder: Option<Holder>,
     },
-    /// Note that a job is here again.
+    /// Log that a job has been revoked.
     Revoked {
-        /// The job.
+        /// Id of the job.
         job_id: String,
-        /// The pool, and its owner.
+        /// The pool and its owner.
         from: PoolOwner,
-        /// Why.
+        /// Why it was revoked.
         cause: RevocationCause,
     },
-    /// Tell an owner that nobody awaits a job any more.
+    /// Cancel a job at its owner.
     Cancel {
-        /// The pool, and its owner.
+        /// The pool and its owner.
         to: PoolOwner,
-        /// The job.
+        /// Id of the job.
         job_id: String,
     },
     /// Answer a caller.
     Answer {
-        /// The request.
+        /// The caller's request.
         request_id: RequestId,
         /// The answer.
         answer: Answer,
     },
 }
 
-/// Why a job is taken back from an owner.
+/// Why a job is revoked from an owner.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RevocationCause {
-    /// The link to the owner is gone.
+    /// The link to the owner is down.
     LinkLost,
     /// The pool has another owner, or none.
     OwnerChanged,
-    /// The owner said so.
+    /// The owner returned the job with this outcome.
     Told(Outcome),
 }
 
-/// A pool and the name of its owner.
+/// A pool and its owner.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct PoolOwner {
-    /// The pool.
+    /// Name of the pool.
     pub pool: String,
-    /// Name of the instance that owns it.
+    /// Name of the owning instance.
     pub owner: String,
 }
 
-/// What a caller is told.
+/// Answer to a caller.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Answer {
     /// All tasks are done.
     Completed,
-    /// A task failed as often as it may.
+    /// A task has failed in all its attempts.
     Failed,
-    /// Nothing ran, and nothing will.
+    /// Nothing has run, and nothing will.
     NotRun {
-        /// When to come back.
+        /// When to retry.
         retry_after_ms: u64,
-        /// Why, for people.
+        /// Explanation for the caller.
         reason: &'static str,
     },
-    /// Something may have run; all that did is stopped.
+    /// Tasks may have run; they have been or are being stopped.
     MayHaveRun {
-        /// Why, for people.
+        /// Explanation for the caller.
         reason: &'static str,
     },
-    /// The id belongs to a different job that is being run.
+    /// The id belongs to a different job that is in progress.
     OtherJob,
 }
--- a/crates/core/src/dispatch/entry/refusal.rs
+++ b/crates/core/src/dispatch/entry/refusal.rs
@@ -1,16 +1,14 @@
-//! Jobs that an owner refuses, and those that are given up.
+//! Jobs that owners refuse, and jobs that are abandoned.
 
 use super::super::limits::{POOLS_TRIED_MAX, RETRY_AFTER_MS, VACANT_POOL_WAIT_MS};
 use super::super::owner::JobResult;
-use super::{Answer, Command, Entry, Place, PoolOwner, RevocationCause};
+use super::{Answer, Command, Entry, JobState, PoolOwner, RevocationCause};
 
-/// Why a job is refused that an owner has no room for.
-const NO_ROOM: &str = "no worker comes free in time";
+const NO_CAPACITY: &str = "no worker comes free in time";
 
-/// Why a job is refused that no failure domain may run.
-pub(super) const CLOSED: &str = "all failure domains are closed";
+pub(super) const ALL_CLOSED: &str = "all failure domains are closed";
 
-/// What the caller is told unless a pool without an owner gets one in time.
+/// The caller's answer unless a vacant pool gets an owner before `until_ms`.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Refusal {
     pub(super) until_ms: u64,
@@ -18,24 +16,23 @@
 }
 
 impl Entry {
-    /// Takes in which pools of the own failure domain this entry uses.
+    /// Sets the pools of the local failure domain that this entry uses.
     pub fn set_local_pools(&mut self, names: Vec<String>) {
-        self.home_pools = names;
+        self.local_pools = names;
     }
 
-    /// Whether a pool that this entry uses has no owner that it knows.
-    fn awaits_owner(&self) -> bool {
+    /// Whether a local pool that this entry uses has no known owner.
+    fn has_vacant_pool(&self) -> bool {
         let serves = |pool: &String| self.pools.get(pool).is_some_and(|view| view.load.serving);
-        !self.home_pools.iter().all(serves)
+        !self.local_pools.iter().all(serves)
     }
 
-    /// An owner has no room for a job in time: another may.
+    /// Handles the refusal of a job by an owner that has no resources in time.
     ///
-    /// Load pattern: pools fill unevenly, and what is known of them is up to a
-    /// heartbeat old, so that some refuse while others have room. After a loss
-    /// of all instances, the first pool that has an owner gets the jobs of all;
-    /// the others follow within half a second.
-    pub(super) fn refused(
+    /// Other pools are tried: loads are known only as of the last heartbeat, and after a
+    /// loss of all instances the first pool that has an owner is sent the jobs of all
+    /// pools until the others have owners again.
+    pub(super) fn on_refused(
         &mut self,
         now_ms: u64,
         from: &PoolOwner,
@@ -53,48 +50,48 @@
             until_ms,
             retry_after_ms,
         });
-        let may_try = job.refused_by.len() < POOLS_TRIED_MAX && !job.may_have_run;
-        self.take_back(
+        let may_retry = job.refused_by.len() < POOLS_TRIED_MAX && !job.may_have_run;
+        self.revoke(
             now_ms,
             id,
             false,
             RevocationCause::Told(ending.outcome),
             out,
         );
-        if may_try {
-            self.place(now_ms, id, out);
+        if may_retry {
+            self.try_delegate(now_ms, id, out);
         }
-        let is_placed = self.jobs[id].place != Place::Waiting;
-        let waits = may_try && now_ms < until_ms && self.awaits_owner();
-        if !is_placed && !waits {
-            self.give_up(id, NO_ROOM, out);
+        let is_delegated = self.jobs[id].state != JobState::Waiting;
+        let waits = may_retry && now_ms < until_ms && self.has_vacant_pool();
+        if !is_delegated && !waits {
+            self.abandon(id, NO_CAPACITY, out);
         }
     }
 
-    /// Answers a job that does not end in time; `reason` is why, where an owner
-    /// has it.
-    pub(super) fn give_up(&mut self, id: &str, reason: &'static str, out: &mut Vec<Command>) {
+    /// Answers a job that does not end in time and cancels it at its owner. `reason`
+    /// applies if the job is delegated or all failure domains are closed.
+    pub(super) fn abandon(&mut self, id: &str, reason: &'static str, out: &mut Vec<Command>) {
         let job = &self.jobs[id];
-        let answer = match &job.place {
-            Place::Waiting if !job.may_have_run => match job.refusal {
+        let answer = match &job.state {
+            JobState::Waiting if !job.may_have_run => match job.refusal {
                 Some(refusal) => Answer::NotRun {
                     retry_after_ms: refusal.retry_after_ms,
-                    reason: NO_ROOM,
+                    reason: NO_CAPACITY,
                 },
                 None => Answer::NotRun {
                     retry_after_ms: RETRY_AFTER_MS,
                     reason: match reason {
-                        CLOSED => CLOSED,
+                        ALL_CLOSED => ALL_CLOSED,
                         _ => "no owner of workers can be reached",
                     },
                 },
             },
-            Place::Waiting => Answer::MayHaveRun {
+            JobState::Waiting => Answer::MayHaveRun {
                 reason: "the owner of its workers was lost",
             },
-            Place::Delegated(_) => Answer::MayHaveRun { reason },
+            JobState::Delegated(_) => Answer::MayHaveRun { reason },
         };
-        if let Place::Delegated(to) = job.place.clone() {
+        if let JobState::Delegated(to) = job.state.clone() {
             let job_id = id.to_owned();
             out.push(Command::Cancel { to, job_id });
         }
--- /dev/null
+++ b/crates/core/src/dispatch/entry/revocation.rs
@@ -0,0 +1,96 @@
+//! Revocation of jobs from an owner that is lost or returns them.
+//!
+//! Runs that the owner started may continue until their leases have expired. Its
+//! successor can be given the job sooner, because it sees the runs on the pool's
+//! workers. The job carries the ownership that it was under, so that only the direct
+//! successor considers it safe. A job that was under two ownerships within that time
+//! becomes safe only when the leases have expired.
+
+use super::*;
+
+impl Entry {
+    /// The pools that an instance owns, as far as this entry knows.
+    pub fn pools_owned_by(&self, owner: &str) -> Vec<PoolOwner> {
+        let pools = self
+            .pools
+            .iter()
+            .filter(|(_, view)| view.holder.owner == owner);
+        let pool_owner = |(pool, view): (&String, &PoolView)| PoolOwner {
+            pool: pool.clone(),
+            owner: view.holder.owner.clone(),
+        };
+        pools.map(pool_owner).collect()
+    }
+
+    /// Whether jobs are delegated to an owner.
+    pub fn has_jobs_at(&self, owner: &str) -> bool {
+        let mut jobs = self.jobs.values();
+        jobs.any(|job| matches!(&job.state, JobState::Delegated(to) if to.owner == owner))
+    }
+
+    /// Stops the delegation of further jobs to an owner; it keeps those that it has.
+    pub fn stop_delegating_to(&mut self, owner: &str) {
+        self.pools.retain(|_, view| view.holder.owner != owner);
+    }
+
+    /// Revokes the jobs of an owner whose link is down.
+    pub fn owner_lost(&mut self, now_ms: u64, owner: &str, out: &mut Vec<Command>) {
+        for pool_owner in self.pools_owned_by(owner) {
+            self.pool_lost(now_ms, &pool_owner, RevocationCause::LinkLost, out);
+        }
+    }
+
+    /// Revokes the jobs of an owner that no longer owns a pool.
+    pub fn pool_lost(
+        &mut self,
+        now_ms: u64,
+        pool_owner: &PoolOwner,
+        cause: RevocationCause,
+        out: &mut Vec<Command>,
+    ) {
+        let state = JobState::Delegated(pool_owner.clone());
+        let delegated = self.jobs.iter().filter(|(_, job)| job.state == state);
+        let ids: Vec<String> = delegated.map(|(id, _)| id.clone()).collect();
+        for id in &ids {
+            self.revoke(now_ms, id, true, cause, out);
+        }
+        let known = self.pools.get(&pool_owner.pool);
+        if known.is_some_and(|view| view.holder.owner == pool_owner.owner) {
+            self.pools.remove(&pool_owner.pool);
+        }
+        for id in &ids {
+            self.try_delegate(now_ms, id, out);
+        }
+    }
+
+    pub(super) fn revoke(
+        &mut self,
+        now_ms: u64,
+        id: &str,
+        may_run: bool,
+        cause: RevocationCause,
+        out: &mut Vec<Command>,
+    ) {
+        let Some(job) = self.jobs.get_mut(id) else {
+            return;
+        };
+        let JobState::Delegated(from) = std::mem::replace(&mut job.state, JobState::Waiting) else {
+            return;
+        };
+        job.waiting_since_ms = now_ms;
+        out.push(Command::Revoked {
+            job_id: id.to_owned(),
+            from: from.clone(),
+            cause,
+        });
+        if !may_run {
+            return;
+        }
+        job.may_have_run = true;
+        // No successor knows the runs of two ownerships.
+        let is_only_ownership = now_ms >= job.unsafe_until_ms || job.unsafe_holder == job.holder;
+        job.unsafe_holder = job.holder.clone().filter(|_| is_only_ownership);
+        job.unsafe_until_ms = now_ms + REDELEGATION_DELAY_MS;
+        job.unsafe_pool = from.pool;
+    }
+}
