--- a/crates/core/src/dispatch/entry.rs
+++ b/crates/core/src/dispatch/entry.rs
@@ -153,11 +153,11 @@
         &mut self,
         now_ms: u64,
         from: &PoolOwner,
-        ending: &JobResult,
+        result: &JobResult,
         out: &mut Vec<Command>,
     ) {
-        let id = ending.job_id.as_str();
-        let outcome = ending.outcome;
+        let id = result.job_id.as_str();
+        let outcome = result.outcome;
         let Some(job) = self.jobs.get_mut(id) else {
             return;
         };
@@ -171,7 +171,7 @@
         match outcome {
             Outcome::Completed => self.answer(id, Answer::Completed, out),
             Outcome::Failed => self.answer(id, Answer::Failed, out),
-            Outcome::NotRun => self.on_refused(now_ms, from, ending, out),
+            Outcome::NotRun => self.on_refused(now_ms, from, result, out),
             Outcome::Returned | Outcome::Stopped | Outcome::Lost | Outcome::Unspecified => {
                 if let Some(view) = self.pools.get_mut(&from.pool) {
                     view.load.serving = false;
@@ -191,11 +191,11 @@
         };
         let known = self.pools.get(&claim.pool);
         if let Some(other) = known.filter(|view| view.holder.owner != holder.owner) {
-            let owned = PoolOwner {
+            let previous = PoolOwner {
                 pool: claim.pool.clone(),
                 owner: other.holder.owner.clone(),
             };
-            self.pool_lost(now_ms, &owned, RevocationCause::OwnerChanged, out);
+            self.pool_lost(now_ms, &previous, RevocationCause::OwnerChanged, out);
         }
         let known = self.pools.get(&claim.pool);
         let served = known.is_some_and(|view| view.load.serving);
@@ -224,7 +224,7 @@
     /// Delegates jobs that have become safe and abandons those that have timed out.
     pub fn tick(&mut self, now_ms: u64, out: &mut Vec<Command>) {
         self.delegate_waiting(now_ms, out);
-        let expired = |job: &EntryJob| {
+        let is_over = |job: &EntryJob| {
             let until_ms = match job.refusal {
                 Some(refusal) => refusal.until_ms,
                 None => job.waiting_since_ms + PLACEMENT_TIMEOUT_MS,
@@ -237,7 +237,7 @@
         let ids: Vec<String> = self
             .jobs
             .iter()
-            .filter(|(_, job)| expired(job))
+            .filter(|(_, job)| is_over(job))
             .map(|(id, _)| id.clone())
             .collect();
         for id in ids {
--- a/crates/core/src/dispatch/entry/refusal.rs
+++ b/crates/core/src/dispatch/entry/refusal.rs
@@ -36,15 +36,15 @@
         &mut self,
         now_ms: u64,
         from: &PoolOwner,
-        ending: &JobResult,
+        result: &JobResult,
         out: &mut Vec<Command>,
     ) {
-        let id = ending.job_id.as_str();
+        let id = result.job_id.as_str();
         let Some(job) = self.jobs.get_mut(id) else {
             return;
         };
         job.refused_by.push(from.pool.clone());
-        let retry_after_ms = ending.retry_after_ms.max(RETRY_AFTER_MS);
+        let retry_after_ms = result.retry_after_ms.max(RETRY_AFTER_MS);
         let until_ms = job.arrived_ms + VACANT_POOL_WAIT_MS;
         job.refusal = Some(Refusal {
             until_ms,
@@ -55,7 +55,7 @@
             now_ms,
             id,
             false,
-            RevocationCause::Told(ending.outcome),
+            RevocationCause::Told(result.outcome),
             out,
         );
         if may_retry {
--- a/crates/core/src/dispatch/ownership/claiming.rs
+++ b/crates/core/src/dispatch/ownership/claiming.rs
@@ -1,41 +1,42 @@
-//! Making a claim: it is written to the store, and stands once the store has it,
-//! or without the store where that does not answer.
+//! Writing of claims. A claim takes effect once the store holds it, or without the
+//! store if that does not answer.
 
 use super::*;
 
-/// What became of writing a claim.
+/// Outcome of writing a claim's record.
 #[derive(Clone, Debug, PartialEq)]
 pub enum ClaimWriteOutcome {
-    /// The store holds it.
+    /// The store holds the record.
     Written {
-        /// Its revision.
+        /// Revision of the record.
         revision: u64,
     },
-    /// The store holds another one; it is read anew.
+    /// The record had another revision and must be read again.
     Conflict,
-    /// Unknown, or the store did nothing.
+    /// Unknown, or the store is unavailable.
     NoAnswer,
 }
 
-/// A claim whose answer from the store is awaited.
+/// A claim that is being written to the store.
 #[derive(Debug)]
-pub(super) struct Writing {
+pub(super) struct PendingClaim {
     pub(super) claim: Claim,
     pub(super) sent_ms: u64,
-    /// The ownership that its record replaces.
+    /// The ownership in the record that is replaced.
     pub(super) predecessor: Option<Predecessor>,
 }
 
 impl Ownership {
-    /// A claim of this instance whose answer was lost stands in the store.
-    pub(super) fn take_up(&mut self, now_ms: u64, claim: Claim, out: &mut Vec<Command>) {
+    /// Acquires a pool if the store holds a claim of this instance whose write was not
+    /// answered.
+    pub(super) fn acquire_if_own(&mut self, now_ms: u64, claim: Claim, out: &mut Vec<Command>) {
         let Some(pool) = self.pools.get(&claim.pool) else {
             return;
         };
-        let newest = pool.claim.as_ref().map(rank) == Some(rank(&claim));
-        let mine = claim.owner.as_ref() == Some(&self.me);
-        if mine && newest && !pool.owns && claim.term > pool.owned_term {
-            self.writing = Some(Writing {
+        let is_newest = pool.claim.as_ref().map(rank) == Some(rank(&claim));
+        let is_mine = claim.owner.as_ref() == Some(&self.me);
+        if is_mine && is_newest && !pool.is_own && claim.term > pool.owned_term {
+            self.pending_claim = Some(PendingClaim {
                 claim,
                 sent_ms: now_ms,
                 predecessor: None,
@@ -44,7 +45,7 @@
         }
     }
 
-    /// Takes in what became of writing a claim.
+    /// Handles the outcome of writing a claim's record.
     pub fn claim_written(
         &mut self,
         now_ms: u64,
@@ -53,30 +54,30 @@
         out: &mut Vec<Command>,
     ) {
         let claim = &record.claim;
-        let writing = self.writing.as_ref();
-        let pending = writing.is_some_and(|writing| writing.claim == *claim);
+        let pending_claim = self.pending_claim.as_ref();
+        let is_pending = pending_claim.is_some_and(|pending_claim| pending_claim.claim == *claim);
         if let Some(pool) = self.pools.get_mut(&claim.pool) {
-            pool.used.is_on_its_way = false;
+            pool.roster_state.is_write_in_flight = false;
         }
         match write {
             ClaimWriteOutcome::Written { revision } => {
-                self.stored(record, *revision, out);
-                if pending {
+                self.set_stored(record, *revision, out);
+                if is_pending {
                     self.acquire(out);
                 }
             }
-            ClaimWriteOutcome::Conflict if pending => {
-                self.writing = None;
+            ClaimWriteOutcome::Conflict if is_pending => {
+                self.pending_claim = None;
                 if let Some(pool) = self.pools.get_mut(&claim.pool) {
-                    // The store is read meanwhile; other pools have their turn.
-                    pool.quiet_until_ms = now_ms + CLAIM_STAGGER_MS;
+                    // The store is read in the meantime, and other pools can be claimed.
+                    pool.backoff_until_ms = now_ms + CLAIM_STAGGER_MS;
                 }
             }
-            ClaimWriteOutcome::NoAnswer if pending => {
-                // Its fate is unknown; the next tick decides without the store.
-                if let Some(writing) = &mut self.writing {
+            ClaimWriteOutcome::NoAnswer if is_pending => {
+                // Ends the wait for the store: the next tick decides without it.
+                if let Some(pending_claim) = &mut self.pending_claim {
                     let waited_ms = now_ms.saturating_sub(CLAIM_STORE_TIMEOUT_MS);
-                    writing.sent_ms = writing.sent_ms.min(waited_ms);
+                    pending_claim.sent_ms = pending_claim.sent_ms.min(waited_ms);
                 }
             }
             ClaimWriteOutcome::Conflict | ClaimWriteOutcome::NoAnswer => {}
@@ -84,10 +85,10 @@
     }
 
     pub(super) fn acquire(&mut self, out: &mut Vec<Command>) {
-        let Some(writing) = self.writing.take() else {
+        let Some(pending_claim) = self.pending_claim.take() else {
             return;
         };
-        let claim = writing.claim;
+        let claim = pending_claim.claim;
         let Some(pool) = self.pools.get_mut(&claim.pool) else {
             return;
         };
@@ -96,18 +97,18 @@
             return;
         }
         pool.vacant_since_ms = None;
-        pool.owns = true;
+        pool.is_own = true;
         pool.owned_term = claim.term;
         pool.yielded = false;
-        pool.used = roster::Used::default();
+        pool.roster_state = roster::RosterState::default();
         pool.claim = Some(claim.clone());
         out.push(Command::Acquired {
             claim,
-            predecessor: writing.predecessor,
+            predecessor: pending_claim.predecessor,
         });
     }
 
-    pub(super) fn claim(&mut self, now_ms: u64, name: &str, out: &mut Vec<Command>) {
+    pub(super) fn write_claim(&mut self, now_ms: u64, name: &str, out: &mut Vec<Command>) {
         let pool = &self.pools[name];
         let term = pool.claim.as_ref().map_or(0, |claim| claim.term);
         let claim = Claim {
@@ -119,7 +120,7 @@
         let stored = &pool.stored;
         let revision = stored.revision;
         let predecessor = stored.holder.clone().zip(stored.roster.clone());
-        self.writing = Some(Writing {
+        self.pending_claim = Some(PendingClaim {
             claim: claim.clone(),
             sent_ms: now_ms,
             predecessor: predecessor.map(|(holder, roster)| Predecessor { holder, roster }),
--- a/crates/core/src/dispatch/ownership/peers.rs
+++ b/crates/core/src/dispatch/ownership/peers.rs
@@ -1,31 +1,29 @@
-//! Membership: other instances as the store lists them, as links show them, and as
-//! peers introduce them.
+//! Other instances, known from the store, from links and from introductions by peers.
 
 use trefoil_schema::dispatch::Node;
 
 use super::{Ownership, Pool};
 
-/// State of the link to another instance.
+/// State of the link with a peer.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(super) enum LinkState {
-    /// Never opened, or closed because neither side needed it.
+    /// Never opened, or closed gracefully.
     #[default]
     Absent,
-    /// Up.
     Up,
-    /// Lost without notice.
+    /// Lost without a graceful close.
     Broken,
 }
 
-/// What is known of another instance.
+/// Another instance.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub(super) struct Peer {
     pub(super) node: Node,
     /// Whether the store lists it.
     pub(super) listed: bool,
     pub(super) link: LinkState,
-    /// Since when `link` has had its value.
-    pub(super) changed_ms: u64,
+    /// When `link` last changed.
+    pub(super) link_changed_ms: u64,
     pub(super) leaving: bool,
 }
 
@@ -34,20 +32,20 @@
         self.link == LinkState::Up
     }
 
-    /// Whether it is registered or linked.
+    /// Whether it is listed or linked.
     pub(super) fn is_present(&self) -> bool {
         self.listed || self.is_linked()
     }
 }
 
 impl Ownership {
-    /// All other instances known.
+    /// All known peers.
     pub fn peers(&self) -> impl Iterator<Item = &Node> {
         self.peers.values().map(|peer| &peer.node)
     }
 
-    /// Instances of the failure domain, as the store lists them, whose names
-    /// come before this one's.
+    /// Rank of this instance by name among the listed instances of the local failure
+    /// domain, from 0.
     pub fn rank_in_domain(&self) -> usize {
         let peers = self.peers.values();
         let before = peers.filter(|peer| {
@@ -58,20 +56,20 @@
         before.count()
     }
 
-    /// Takes in the store's list of instances.
+    /// Sets the list of instances in the store.
     pub fn set_members(&mut self, now_ms: u64, nodes: Vec<Node>) {
-        self.store_read = true;
+        self.has_read_store = true;
         let is_new = |node: &Node| {
             let peer = self.peers.get(&node.name);
             node.name != self.me.name && !peer.is_some_and(|peer| peer.listed)
         };
-        self.listing_grows = nodes.iter().any(is_new);
+        self.is_listing_growing = nodes.iter().any(is_new);
         for peer in self.peers.values_mut() {
             peer.listed = false;
         }
         for node in nodes {
             if node.name != self.me.name {
-                self.peer(now_ms, &node).listed = true;
+                self.peer_mut(now_ms, &node).listed = true;
             }
         }
         let pools = &self.pools;
@@ -83,10 +81,10 @@
             .retain(|name, peer| peer.listed || peer.is_linked() || owns(name));
     }
 
-    /// The entry of an instance; a new start of it is another instance.
-    pub(super) fn peer(&mut self, now_ms: u64, node: &Node) -> &mut Peer {
+    /// The entry of a peer, which is created or, for a later incarnation, reset.
+    pub(super) fn peer_mut(&mut self, now_ms: u64, node: &Node) -> &mut Peer {
         let peer = self.peers.entry(node.name.clone()).or_insert_with(|| Peer {
-            changed_ms: now_ms,
+            link_changed_ms: now_ms,
             ..Peer::default()
         });
         if peer.node.incarnation < node.incarnation {
@@ -99,27 +97,26 @@
         peer
     }
 
-    /// Takes in an instance that another one introduces.
+    /// Adds an instance that a peer introduces.
     pub fn observe_peer(&mut self, now_ms: u64, node: &Node) {
-        self.peer(now_ms, node);
+        self.peer_mut(now_ms, node);
     }
 
-    /// A link to an instance is up.
+    /// Handles a new link with an instance.
     pub fn on_link_up(&mut self, now_ms: u64, node: &Node) {
-        let peer = self.peer(now_ms, node);
+        let peer = self.peer_mut(now_ms, node);
         peer.node = node.clone();
         peer.link = LinkState::Up;
         peer.leaving = false;
-        peer.changed_ms = now_ms;
+        peer.link_changed_ms = now_ms;
     }
 
-    /// The link to an instance broke, which may mean that the instance is gone.
+    /// Handles the loss of a link, by which the instance may be lost too.
     pub fn on_link_down(&mut self, now_ms: u64, name: &str) {
         self.set_link(now_ms, name, LinkState::Broken);
     }
 
-    /// The link to an instance was closed by agreement, which says nothing about
-    /// the instance.
+    /// Handles the graceful close of a link, which does not concern the instance's liveness.
     pub fn on_link_closed(&mut self, now_ms: u64, name: &str) {
         self.set_link(now_ms, name, LinkState::Absent);
     }
@@ -127,11 +124,11 @@
     fn set_link(&mut self, now_ms: u64, name: &str, link: LinkState) {
         if let Some(peer) = self.peers.get_mut(name) {
             peer.link = link;
-            peer.changed_ms = now_ms;
+            peer.link_changed_ms = now_ms;
         }
     }
 
-    /// An instance says whether it is leaving.
+    /// Sets whether an instance is leaving.
     pub fn set_peer_leaving(&mut self, name: &str, leaving: bool) {
         if let Some(peer) = self.peers.get_mut(name) {
             peer.leaving = leaving;
