--- a/crates/core/tests/dispatch_neighbours.rs
+++ b/crates/core/tests/dispatch_neighbours.rs
@@ -1,4 +1,4 @@
-//! Links and watched pools in deployments of many instances.
+//! Links and watched pools in large deployments.
 
 use std::collections::BTreeMap;
 
@@ -19,7 +19,7 @@
     }
 }
 
-/// The owner of a pool: some instance of the failure domain.
+/// The owner of a pool: an instance of its failure domain.
 fn owner_of(domain: usize, index: u32) -> Node {
     node(domain + DOMAINS.len() * index as usize)
 }
@@ -37,7 +37,7 @@
         .collect()
 }
 
-/// An instance of a deployment of `count` that has read the store.
+/// An instance of a deployment of `count` instances that has read the store.
 fn instance(me: usize, count: usize, claims: &[Claim]) -> Ownership {
     let mut ownership = Ownership::new(0, node(me));
     for domain in DOMAINS {
@@ -59,7 +59,7 @@
 }
 
 #[test]
-fn a_small_deployments_instances_all_link_with_each_other() {
+fn small_deployment_is_a_full_mesh() {
     let mut ownership = instance(7, 36, &[]);
     ownership.set_members(700, (0..36).map(node).collect());
     assert_eq!(ownership.desired_peers().len(), 35);
@@ -67,7 +67,7 @@
 }
 
 #[test]
-fn links_of_an_owner_do_not_grow_with_the_deployment() {
+fn number_of_an_owners_links_does_not_grow_with_the_deployment() {
     for count in [300, 1200] {
         let claims = claims();
         let mut links: BTreeMap<String, usize> = BTreeMap::new();
@@ -88,7 +88,7 @@
 }
 
 #[test]
-fn an_instance_is_settled_once_it_is_linked_with_the_owners_that_it_wants() {
+fn instance_is_linked_to_owners_once_all_desired_links_are_up() {
     let mut ownership = instance(200, 300, &claims());
     assert!(!ownership.is_linked_to_owners());
     let wanted: Vec<Node> = ownership.desired_peers().into_iter().cloned().collect();
@@ -100,7 +100,7 @@
     assert!(!ownership.is_linked_to_owners());
 }
 
-/// Pools that an instance claims within four seconds, each claim refused.
+/// Pools that an instance claims within four seconds, if no claim succeeds.
 fn claimed(ownership: &mut Ownership) -> Vec<String> {
     let mut pools = Vec::new();
     for now_ms in (0..4000).step_by(25) {
@@ -120,47 +120,48 @@
 }
 
 #[test]
-fn pools_that_others_watch_are_left_to_them_while_their_owners_are_listed() {
+fn unwatched_pools_are_not_claimed_while_their_owners_are_listed() {
     let mut ownership = instance(200, 300, &claims());
-    // No link is up: the owners of the watched pools are taken for lost.
+    // No link is up, so the owners of the watched pools are considered lost.
     assert_eq!(claimed(&mut ownership).len(), 4);
 }
 
 /// An instance of the failure domain of `forde/0` that does not watch this pool.
-fn bystander(count: usize) -> (usize, Ownership) {
-    let orphan = pool::name("forde", 0);
+fn non_watcher(count: usize) -> (usize, Ownership) {
+    let vacant = pool::name("forde", 0);
     let candidates = (200..count).step_by(DOMAINS.len());
-    let mut bystanders = candidates.map(|me| (me, instance(me, count, &claims())));
-    let is_bystander =
-        |(_, ownership): &(usize, Ownership)| !ownership.local_pools().contains(&orphan);
-    bystanders.find(is_bystander).expect("most watch others")
+    let mut non_watchers = candidates.map(|me| (me, instance(me, count, &claims())));
+    let is_non_watcher =
+        |(_, ownership): &(usize, Ownership)| !ownership.local_pools().contains(&vacant);
+    non_watchers
+        .find(is_non_watcher)
+        .expect("most watch others")
 }
 
 #[test]
-fn a_pool_whose_owner_is_gone_is_left_to_those_that_watch_it() {
-    let (_, mut ownership) = bystander(300);
-    let left = (0..300).filter(|number| *number != 2).map(node);
-    ownership.set_members(1, left.collect());
-    let orphan = pool::name("forde", 0);
+fn vacant_pool_is_left_to_its_watchers() {
+    let (_, mut ownership) = non_watcher(300);
+    let remaining = (0..300).filter(|number| *number != 2).map(node);
+    ownership.set_members(1, remaining.collect());
+    let vacant = pool::name("forde", 0);
     assert_eq!(owner_of(2, 0), node(2));
-    assert!(!claimed(&mut ownership).contains(&orphan));
+    assert!(!claimed(&mut ownership).contains(&vacant));
 }
 
 #[test]
-fn a_pool_of_which_nobody_is_left_that_watches_it_is_claimed_by_whoever_is() {
-    let (me, mut ownership) = bystander(300);
+fn vacant_pool_without_watchers_is_claimed_by_another_instance() {
+    let (me, mut ownership) = non_watcher(300);
     // All others of the failure domain are gone.
-    let left = (0..300).filter(|number| number % DOMAINS.len() != 2 || *number == me);
-    ownership.set_members(1, left.map(node).collect());
-    let orphan = pool::name("forde", 0);
+    let remaining = (0..300).filter(|number| number % DOMAINS.len() != 2 || *number == me);
+    ownership.set_members(1, remaining.map(node).collect());
+    let vacant = pool::name("forde", 0);
     let claimed = claimed(&mut ownership);
-    assert!(claimed.contains(&orphan), "{me} {claimed:?}");
+    assert!(claimed.contains(&vacant), "{me} {claimed:?}");
 }
 
 #[test]
-fn who_knows_of_no_owner_links_with_a_few_and_all_of_them_with_different_ones() {
-    // Load pattern: all instances of a large deployment start at once, before
-    // anybody owns a pool.
+fn instances_that_know_no_owner_link_with_a_few_different_peers() {
+    // All instances start at once and no pool has an owner.
     let mut links: BTreeMap<String, usize> = BTreeMap::new();
     for me in 0..300 {
         let mut ownership = instance(me, 300, &[]);
@@ -175,7 +176,7 @@
 }
 
 #[test]
-fn the_first_part_of_a_growing_list_is_not_taken_for_a_small_deployment() {
+fn growing_list_is_not_taken_for_a_small_deployment() {
     let mut ownership = instance(200, 20, &[]);
     assert!(ownership.desired_peers().is_empty());
     ownership.set_members(700, (0..40).map(node).collect());
@@ -185,8 +186,8 @@
 }
 
 #[test]
-fn the_owners_that_an_instance_uses_do_not_change_as_it_learns_of_others() {
-    // Load pattern: a large deployment starts, and owners are learned one by one.
+fn owners_in_use_do_not_change_as_further_owners_are_learned() {
+    // Owners are learned one by one while the deployment starts.
     let mut claims = claims();
     claims.sort_by_key(|claim| std::cmp::Reverse(claim.pool.clone()));
     let all = instance(200, 300, &claims);
@@ -201,7 +202,7 @@
 }
 
 #[test]
-fn an_owner_knows_which_instances_use_its_pool() {
+fn owner_knows_the_instances_that_use_its_pool() {
     let claims = claims();
     let owner = instance(0, 300, &claims);
     let of_its_domain = claims
@@ -221,8 +222,8 @@
 }
 
 #[test]
-fn every_pool_is_watched_by_instances_of_the_strongest_kind() {
-    // A tenth of the instances has eight times the processor of the others.
+fn every_pool_is_watched_by_some_of_the_strongest_instances() {
+    // A tenth of the instances has eight times the CPU of the others.
     let strong = |number: usize| number.is_multiple_of(10);
     let weighted = |number: usize| Node {
         weight_millicores: if strong(number) { 1000 } else { 120 },
@@ -247,7 +248,7 @@
 }
 
 #[test]
-fn who_starts_in_a_small_deployment_that_runs_links_with_all_at_once() {
+fn instance_that_joins_a_small_deployment_links_with_all_at_once() {
     let mut claims = claims();
     claims.retain(|claim| {
         claim
@@ -260,8 +261,8 @@
 }
 
 #[test]
-fn few_instances_come_before_the_others_of_their_failure_domain() {
-    // Only those count the workers at first, when everything starts together.
+fn two_instances_of_each_failure_domain_have_the_lowest_ranks() {
+    // After a simultaneous start only these read the registry to create pools.
     let ranks = (0..300).map(|me| instance(me, 300, &[]).rank_in_domain());
     let first = ranks.filter(|rank| *rank < 2).count();
     assert_eq!(first, 2 * DOMAINS.len());
--- a/crates/core/tests/dispatch_ownership.rs
+++ b/crates/core/tests/dispatch_ownership.rs
@@ -1,4 +1,4 @@
-//! Claims on pools: who makes one, when, and what ends ownership.
+//! Claims on pools: by which instance, when, and what ends an ownership.
 
 use std::sync::Arc;
 
@@ -31,7 +31,7 @@
     }
 }
 
-/// Its record in the store, which tells no roster.
+/// The record of a claim, without a roster.
 fn record(claim: Claim) -> ClaimRecord {
     ClaimRecord {
         claim,
@@ -46,7 +46,7 @@
     }
 }
 
-/// An instance that has read the store: one pool, these other instances.
+/// An instance that has read from the store one pool and the other instances.
 fn instance(me: &Node, others: &[Node]) -> Ownership {
     let mut ownership = Ownership::new(0, me.clone());
     ownership.set_pool_count("forde", 1);
@@ -60,14 +60,14 @@
     out
 }
 
-/// The first instant, in steps of 10 ms, at which a claim is written.
+/// The first time, in steps of 10 ms, at which a claim is written.
 fn claims_at(ownership: &mut Ownership, from_ms: u64, until_ms: u64) -> Option<u64> {
     let mut instants = (from_ms..until_ms).step_by(10);
     instants.find(|&now_ms| !tick(ownership, now_ms).is_empty())
 }
 
 #[test]
-fn a_vacant_pool_is_claimed_and_owned_once_the_store_holds_the_claim() {
+fn vacant_pool_is_owned_once_the_store_holds_the_claim() {
     let me = node("a", 1, 250);
     let mut ownership = instance(&me, &[]);
     let out = tick(&mut ownership, 10);
@@ -83,7 +83,7 @@
 }
 
 #[test]
-fn the_youngest_of_equal_candidates_comes_first_and_the_strongest_before_it() {
+fn strongest_candidate_comes_first_and_then_the_most_recently_started() {
     let (old, young) = (node("a", 1, 250), node("b", 2, 250));
     let strong = node("c", 0, 500);
     let mut first = instance(&young, std::slice::from_ref(&old));
@@ -96,7 +96,7 @@
 }
 
 #[test]
-fn an_owner_whose_link_breaks_is_followed_after_a_moment() {
+fn pool_is_claimed_after_a_timeout_when_the_owners_link_breaks() {
     let (me, owner) = (node("a", 1, 250), node("b", 2, 250));
     let mut ownership = instance(&me, std::slice::from_ref(&owner));
     ownership.on_link_up(0, &owner);
@@ -108,27 +108,30 @@
 }
 
 #[test]
-fn an_owner_that_was_never_linked_is_given_time() {
-    // Seen on haugland-reg trouble-2: an instance that had started while the
-    // store was away took the pool from an owner that it did not know.
+fn owner_that_was_never_linked_gets_time_to_be_dialed() {
+    // Guards against an instance that starts during an outage of the store and takes the
+    // pool from an owner that it does not know.
     let (me, owner) = (node("a", 1, 250), node("b", 2, 250));
     let mut ownership = instance(&me, &[]);
-    let began_ms = 5000;
-    ownership.set_members(began_ms, vec![]);
-    ownership.learn_stored_claim(began_ms, record(claim(&owner, 1)), 5, &mut Vec::new());
-    assert_eq!(claims_at(&mut ownership, began_ms, began_ms + 600), None);
+    let started_ms = 5000;
+    ownership.set_members(started_ms, vec![]);
+    ownership.learn_stored_claim(started_ms, record(claim(&owner, 1)), 5, &mut Vec::new());
+    assert_eq!(
+        claims_at(&mut ownership, started_ms, started_ms + 600),
+        None
+    );
     assert!(
         ownership.peers().any(|peer| peer.name == "b"),
         "it is dialed"
     );
-    ownership.on_link_up(began_ms + 600, &owner);
-    assert_eq!(claims_at(&mut ownership, began_ms + 600, 9000), None);
+    ownership.on_link_up(started_ms + 600, &owner);
+    assert_eq!(claims_at(&mut ownership, started_ms + 600, 9000), None);
 }
 
 #[test]
-fn an_owner_that_was_long_known_is_given_time_from_its_claim_on() {
-    // Load pattern: a large deployment starts, and instances that were listed long
-    // before claim pools: others have yet to dial them.
+fn dial_timeout_of_a_long_known_owner_starts_with_its_claim() {
+    // In a large deployment an owner may be listed long before its first claim, and it is
+    // dialed only after that.
     let (me, owner) = (node("a", 1, 250), node("b", 2, 250));
     let mut ownership = instance(&me, std::slice::from_ref(&owner));
     let claimed_ms = 8000;
@@ -142,7 +145,7 @@
 }
 
 #[test]
-fn a_link_that_was_closed_by_agreement_is_no_loss() {
+fn graceful_close_of_a_link_is_not_taken_for_a_loss_of_the_owner() {
     let (me, owner) = (node("a", 1, 250), node("b", 2, 250));
     let mut ownership = instance(&me, std::slice::from_ref(&owner));
     ownership.on_link_up(0, &owner);
@@ -152,7 +155,7 @@
 }
 
 #[test]
-fn an_owner_that_has_started_anew_is_followed_at_once() {
+fn pool_of_a_restarted_owner_is_claimed_at_once() {
     let (me, owner) = (node("a", 1, 250), node("b", 2, 250));
     let mut ownership = instance(&me, std::slice::from_ref(&owner));
     ownership.learn_stored_claim(0, record(claim(&owner, 1)), 5, &mut Vec::new());
@@ -161,7 +164,7 @@
 }
 
 #[test]
-fn an_owner_that_is_leaving_is_followed_at_once() {
+fn pool_of_a_leaving_owner_is_claimed_at_once() {
     let (me, owner) = (node("a", 1, 250), node("b", 2, 250));
     let mut ownership = instance(&me, std::slice::from_ref(&owner));
     ownership.on_link_up(0, &owner);
@@ -171,7 +174,7 @@
 }
 
 #[test]
-fn without_the_store_only_an_instance_that_reaches_most_claims() {
+fn without_the_store_only_an_instance_that_reaches_a_majority_claims() {
     let me = node("a", 1, 250);
     let others = [node("b", 0, 250), node("c", 0, 250)];
     for (linked, claims) in [(2, true), (0, false)] {
@@ -192,7 +195,7 @@
 }
 
 #[test]
-fn a_higher_claim_ends_ownership() {
+fn higher_claim_ends_ownership() {
     let (me, other) = (node("a", 1, 250), node("b", 2, 250));
     let mut ownership = instance(&me, std::slice::from_ref(&other));
     let out = tick(&mut ownership, 2000);
@@ -211,7 +214,7 @@
     ids.iter().map(|&id| Arc::from(id)).collect()
 }
 
-/// An instance that owns the pool, and its record as the store holds it.
+/// An instance that owns the pool, and its stored record.
 fn owning(me: &Node) -> (Ownership, ClaimRecord) {
     let mut ownership = instance(me, &[]);
     let out = tick(&mut ownership, 10);
@@ -223,7 +226,7 @@
     (ownership, record.clone())
 }
 
-/// The record that is written, and the roster that it is bound to from then on.
+/// The record that is written, and the roster that limits the owner from then on.
 fn written(commands: &[Command]) -> Option<(ClaimRecord, Option<Roster>)> {
     let record = commands.iter().find_map(|command| match command {
         Command::WriteClaim { record, .. } => Some(record.clone()),
@@ -237,9 +240,9 @@
 }
 
 #[test]
-fn a_roster_is_written_before_its_new_workers_are_used() {
+fn roster_is_stored_before_its_new_workers_are_used() {
     let (mut ownership, claimed) = owning(&node("a", 1, 250));
-    assert_eq!(claimed.roster, None, "it may use any worker yet");
+    assert_eq!(claimed.roster, None, "it may still use any worker");
     let first = roster(&["w1", "w2"]);
     ownership.set_roster(POOL, first.clone());
     let (record, sent) = written(&tick(&mut ownership, 50)).expect("it is written");
@@ -260,14 +263,14 @@
 }
 
 #[test]
-fn a_roster_whose_answer_was_lost_is_written_again_or_read() {
+fn roster_whose_write_was_not_answered_is_written_again_or_read() {
     let (mut ownership, _) = owning(&node("a", 1, 250));
     ownership.set_roster(POOL, roster(&["w1"]));
     let (record, _) = written(&tick(&mut ownership, 50)).unwrap();
     ownership.claim_written(150, &record, &ClaimWriteOutcome::NoAnswer, &mut Vec::new());
     let (again, _) = written(&tick(&mut ownership, 200)).unwrap();
     assert_eq!(again, record);
-    // The first write was carried out after all, and the second met it.
+    // The first write took effect after all, so the second conflicts.
     ownership.claim_written(210, &again, &ClaimWriteOutcome::Conflict, &mut Vec::new());
     let mut out = Vec::new();
     ownership.learn_stored_claim(220, record, 8, &mut out);
@@ -276,7 +279,7 @@
 }
 
 #[test]
-fn a_successor_knows_the_roster_that_its_claim_replaced_and_no_other() {
+fn successor_knows_only_the_roster_that_its_claim_replaced() {
     let (me, other) = (node("a", 1, 250), node("b", 2, 250));
     let used = roster(&["w1"]);
     let of_other = ClaimRecord {
@@ -305,8 +308,8 @@
 }
 
 #[test]
-fn a_claim_whose_answer_was_lost_is_taken_up_when_it_is_read() {
-    // Seen in the soak, seed 151: terms rose by one with each lost answer.
+fn claim_whose_write_was_not_answered_takes_effect_when_it_is_read() {
+    // Otherwise the term would rise with each lost answer.
     let me = node("a", 1, 250);
     let mut ownership = instance(&me, &[node("b", 0, 250)]);
     let out = tick(&mut ownership, 2000);
@@ -315,10 +318,10 @@
     };
     let mut out = Vec::new();
     ownership.claim_written(2010, record, &ClaimWriteOutcome::NoAnswer, &mut out);
-    assert!(tick(&mut ownership, 2020).is_empty(), "it reaches nobody");
+    assert!(tick(&mut ownership, 2020).is_empty(), "it reaches no peer");
     ownership.learn_stored_claim(2030, record.clone(), 9, &mut out);
     assert!(out.contains(&acquired(&record.claim)));
-    // After it was outranked, the same claim does not bring ownership back.
+    // After it was superseded, the same claim does not restore the ownership.
     ownership.on_superseded(2040, POOL, &mut Vec::new());
     let mut out = Vec::new();
     ownership.learn_stored_claim(2050, record.clone(), 9, &mut out);
