--- a/crates/core/tests/dispatch_history/events.rs
+++ b/crates/core/tests/dispatch_history/events.rs
@@ -1,4 +1,4 @@
-//! What happens in a history.
+//! Events of a simulated history.
 
 use std::sync::Arc;
 
@@ -15,18 +15,18 @@
 pub enum Order {
     Start(StartOrder),
     Stop(StopOrder),
-    Hold(RenewOrder),
+    Renew(RenewOrder),
 }
 
 #[derive(Clone, Debug)]
 pub enum Event {
-    /// An order reaches a worker; its answer may not come back.
+    /// An order reaches a worker; its answer may be lost.
     Arrive {
         owner: usize,
         order: Order,
         answered: bool,
     },
-    /// What an owner learns of an order.
+    /// An owner learns the outcome of a start.
     Start {
         owner: usize,
         order: StartOrder,
@@ -37,7 +37,7 @@
         order: StopOrder,
         outcome: OrderOutcome,
     },
-    Hold {
+    Renew {
         owner: usize,
         order: RenewOrder,
         outcome: RenewOutcome,
@@ -48,19 +48,19 @@
     Submit {
         job: usize,
     },
-    /// A worker's capacity shrinks, or grows back.
+    /// A worker's capacity changes.
     Resize {
         worker: usize,
         cpu_millicores: u64,
     },
-    /// The present owner is lost to the entry; it may live on for a while.
-    Replace,
-    /// The lost owner notices that its link is down.
-    Notice {
+    /// The entry considers the current owner lost; it may still act for a while.
+    ReplaceOwner,
+    /// The lost owner detects that its link is down.
+    OriginLost {
         owner: usize,
     },
-    /// An owner reads the registry, which lists all workers.
-    Registry {
+    /// An owner reads the registry.
+    ReadRegistry {
         owner: usize,
     },
     /// An owner sends its roster to the store.
@@ -68,18 +68,18 @@
         owner: usize,
     },
     /// A roster reaches the store.
-    Roster {
+    WriteRoster {
         owner: usize,
         roster: Roster,
         answered: bool,
     },
     /// The operator closes the failure domain, or opens it again.
-    Close,
-    Reopen,
-    /// The entry sends again what was given back.
-    Resend,
-    /// An owner learns of that.
-    Learn {
+    CloseDomain,
+    ReopenDomain,
+    /// The entry delegates the returned jobs again.
+    Redelegate,
+    /// An owner learns whether the failure domain is closed.
+    LearnClosure {
         owner: usize,
     },
     /// An owner learns that the store holds its roster.
@@ -96,11 +96,11 @@
     pub roster: Option<Roster>,
 }
 
-/// What the entry knows of a job.
+/// The entry's state of a job.
 #[derive(Clone, Debug)]
 pub struct EntryJob {
     pub tasks: u32,
-    /// The owner that has it.
+    /// The owner that it is delegated to.
     pub owner: usize,
     pub unsafe_until_ms: u64,
     pub unsafe_owner: Option<usize>,
@@ -114,7 +114,7 @@
     let target = match order {
         Order::Start(order) => &order.target,
         Order::Stop(order) => &order.target,
-        Order::Hold(order) => &order.target,
+        Order::Renew(order) => &order.target,
     };
     target.worker_id.to_string()
 }
@@ -142,7 +142,7 @@
             order,
             outcome,
         },
-        Order::Hold(order) => Event::Hold {
+        Order::Renew(order) => Event::Renew {
             owner,
             order,
             outcome: RenewOutcome::NoAnswer,
--- a/crates/core/tests/dispatch_history/world.rs
+++ b/crates/core/tests/dispatch_history/simulation.rs
@@ -1,4 +1,4 @@
-//! A pool, its owners and its workers in virtual time.
+//! A pool, its owners and its workers in simulated time.
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap, HashMap};
@@ -10,59 +10,58 @@
 use trefoil_core::dispatch::ownership::Roster;
 use trefoil_schema::dispatch::Outcome;
 
-use crate::WORKERS;
+use crate::INITIAL_WORKERS;
 use crate::dispatch_support::{SimWorker, job, owner, owner_after};
 use crate::events::{EntryJob, Event, Order, Record, answered, holder_of, unanswered, worker_of};
 
-/// A history is given up as stuck after this time.
+/// All jobs must have ended by then.
 const END_MS: u64 = 60_000;
-/// Period of the owners' ticks.
-const TICK_MS: u64 = 25;
-/// An operator's closing is in force after this time.
+const TICK_PERIOD_MS: u64 = 25;
+/// Time by which a closure of the failure domain must be in force.
 const CLOSE_WITHIN_MS: u64 = 5000;
-/// How long begun jobs go on in a failure domain that was closed.
-const BEGUN_MS: u64 = 1500;
-/// A capacity that has shrunk counts this much later: the platform's time for contact
-/// and one of its workers' heartbeats.
-const SHRUNK_COUNTS_MS: u64 = 3000 + 1500;
-/// Period at which owners read the registry.
-pub const REGISTRY_MS: u64 = 700;
+/// How long started jobs may start further tasks in a closed failure domain.
+const STARTED_JOBS_MS: u64 = 1500;
+/// When a reduced capacity must be respected: the platform's contact time plus a
+/// heartbeat of a worker.
+const REDUCED_CAPACITY_DELAY_MS: u64 = 3000 + 1500;
+pub const REGISTRY_PERIOD_MS: u64 = 700;
 const ENTRY: Origin = Origin::Link(1);
 
 pub struct History<'a, 'b> {
     pub choices: &'a mut Unstructured<'b>,
     pub now_ms: u64,
+    /// Times and numbers of the scheduled events, whose contents are in `stored`.
     pub events: BinaryHeap<Reverse<(u64, usize)>>,
     pub stored: HashMap<usize, Event>,
     pub next_event: usize,
     pub workers: Vec<SimWorker>,
-    /// When each is added.
+    /// When each worker is added.
     pub added_ms: Vec<u64>,
-    /// When the capacity of each last changed.
+    /// When the capacity of each worker last changed.
     pub resized_ms: Vec<u64>,
     pub record: Record,
     /// Since when the failure domain is closed.
     pub closed_ms: Option<u64>,
-    /// Jobs that an owner gave back for it.
-    pub sent_away: Vec<String>,
+    /// Jobs that owners have returned because of the closure.
+    pub returned_jobs: Vec<String>,
     pub owners: Vec<Owner>,
-    /// Whether each owner still acts.
-    pub acts: Vec<bool>,
+    /// Whether each owner is still running.
+    pub active: Vec<bool>,
     /// Until when an owner cannot reach a worker.
-    pub cuts: HashMap<(usize, String), u64>,
-    pub open_jobs: BTreeMap<String, EntryJob>,
-    pub trouble: bool,
+    pub partitions: HashMap<(usize, String), u64>,
+    pub unfinished_jobs: BTreeMap<String, EntryJob>,
+    pub faults_enabled: bool,
 }
 
 impl History<'_, '_> {
-    pub fn at(&mut self, at_ms: u64, event: Event) {
+    pub fn schedule(&mut self, at_ms: u64, event: Event) {
         self.stored.insert(self.next_event, event);
         self.events.push(Reverse((at_ms, self.next_event)));
         self.next_event += 1;
     }
 
-    fn chance(&mut self, percent: u8) -> arbitrary::Result<bool> {
-        Ok(self.trouble && self.choices.int_in_range(0..=99_u8)? < percent)
+    fn fault_occurs(&mut self, percent: u8) -> arbitrary::Result<bool> {
+        Ok(self.faults_enabled && self.choices.int_in_range(0..=99_u8)? < percent)
     }
 
     fn send(&mut self, owner: usize, order: Order) -> arbitrary::Result<()> {
@@ -70,39 +69,42 @@
             let late = self.now_ms > closed_ms + CLOSE_WITHIN_MS;
             assert!(
                 !late,
-                "{} starts {} ms after",
+                "{} starts {} ms after the closure",
                 start.task,
                 self.now_ms - closed_ms
             );
         }
-        let path_ms = self.choices.int_in_range(1..=3)?;
-        let cut_until_ms = self.cuts.get(&(owner, worker_of(&order)));
-        let is_cut = cut_until_ms.is_some_and(|&until_ms| self.now_ms < until_ms);
-        let fate = match (is_cut || self.chance(6)?, is_cut || self.chance(6)?) {
-            // Lost on the way.
+        let latency_ms = self.choices.int_in_range(1..=3)?;
+        let partition_until_ms = self.partitions.get(&(owner, worker_of(&order)));
+        let is_partitioned = partition_until_ms.is_some_and(|&until_ms| self.now_ms < until_ms);
+        let delivery = match (
+            is_partitioned || self.fault_occurs(6)?,
+            is_partitioned || self.fault_occurs(6)?,
+        ) {
+            // The order is lost.
             (true, true) => None,
-            // Not answered, and carried out late.
+            // The order is delayed and its answer is lost.
             (true, false) => Some((self.choices.int_in_range(2000..=9000)?, false)),
-            // Carried out, and not answered.
-            (false, true) => Some((path_ms, false)),
-            (false, false) => Some((path_ms, true)),
+            // The answer is lost.
+            (false, true) => Some((latency_ms, false)),
+            (false, false) => Some((latency_ms, true)),
         };
-        if fate.is_none_or(|(_, answered)| !answered) {
+        if delivery.is_none_or(|(_, answered)| !answered) {
             let answer_ms = match &order {
-                Order::Hold(hold) => hold.wait_ms + hold.answer_timeout_ms,
+                Order::Renew(renew) => renew.wait_ms + renew.answer_timeout_ms,
                 Order::Start(start) => start.answer_timeout_ms,
                 Order::Stop(stop) => stop.answer_timeout_ms,
             };
             let event = unanswered(owner, order.clone());
-            self.at(self.now_ms + answer_ms, event);
+            self.schedule(self.now_ms + answer_ms, event);
         }
-        if let Some((delay_ms, answered)) = fate {
+        if let Some((delay_ms, answered)) = delivery {
             let event = Event::Arrive {
                 owner,
                 order,
                 answered,
             };
-            self.at(self.now_ms + delay_ms, event);
+            self.schedule(self.now_ms + delay_ms, event);
         }
         Ok(())
     }
@@ -112,7 +114,7 @@
             match command {
                 Command::Start(order) => self.send(owner, Order::Start(order))?,
                 Command::Stop(order) => self.send(owner, Order::Stop(order))?,
-                Command::Renew(order) => self.send(owner, Order::Hold(order))?,
+                Command::Renew(order) => self.send(owner, Order::Renew(order))?,
                 Command::JobEnded { result, .. } => {
                     self.ended(owner, &result.job_id, result.outcome);
                 }
@@ -123,18 +125,18 @@
     }
 
     fn ended(&mut self, owner: usize, job_id: &str, outcome: Outcome) {
-        let present = owner + 1 == self.owners.len();
+        let is_current = owner + 1 == self.owners.len();
         match outcome {
-            Outcome::Completed if present => {
-                self.open_jobs.remove(job_id);
+            Outcome::Completed if is_current => {
+                self.unfinished_jobs.remove(job_id);
             }
             Outcome::Completed => {}
-            Outcome::Returned | Outcome::Lost if present => {
-                self.take_back(job_id, owner, outcome == Outcome::Lost);
-                self.sent_away.push(job_id.to_owned());
+            Outcome::Returned | Outcome::Lost if is_current => {
+                self.revoke(job_id, owner, outcome == Outcome::Lost);
+                self.returned_jobs.push(job_id.to_owned());
             }
-            // Only an owner that was replaced is outranked.
-            other => assert!(!present, "{job_id} {other:?}"),
+            // Only an owner that was replaced is superseded.
+            other => assert!(!is_current, "{job_id} {other:?}"),
         }
     }
 
@@ -147,7 +149,7 @@
             .iter()
             .position(|worker| *worker.record.id == *id);
         let position = found.expect("orders go to known workers");
-        let counts = now_ms > self.resized_ms[position] + SHRUNK_COUNTS_MS;
+        let counts = now_ms > self.resized_ms[position] + REDUCED_CAPACITY_DELAY_MS;
         let worker = &mut self.workers[position];
         let event = match order {
             Order::Start(order) => {
@@ -157,7 +159,7 @@
                 let is_over = used > worker.record.capacity.cpu_millicores;
                 assert!(
                     !(counts && is_over && worker.runs.len() > before),
-                    "{} starts over the capacity at {now_ms} ms",
+                    "{} exceeds the capacity when started at {now_ms} ms",
                     order.task
                 );
                 Event::Start {
@@ -174,23 +176,23 @@
                     outcome,
                 }
             }
-            Order::Hold(order) => {
+            Order::Renew(order) => {
                 let outcome = worker.hold(now_ms, &order);
-                let event = Event::Hold {
+                let event = Event::Renew {
                     owner,
                     order,
                     outcome,
                 };
                 if answered {
-                    // A worker with nothing to tell answers after a while.
+                    // The worker may delay the answer.
                     let wait_ms: u64 = self.choices.int_in_range(0..=40)?;
-                    self.at(back_ms + wait_ms, event);
+                    self.schedule(back_ms + wait_ms, event);
                 }
                 return Ok(());
             }
         };
         if answered {
-            self.at(back_ms, event);
+            self.schedule(back_ms, event);
         }
         Ok(())
     }
@@ -213,80 +215,89 @@
                 self.resized_ms[worker] = now_ms;
                 return Ok(());
             }
-            Event::Replace => return self.replace(),
+            Event::ReplaceOwner => return self.replace_owner(),
             Event::Start { owner, .. }
             | Event::Stop { owner, .. }
-            | Event::Hold { owner, .. }
+            | Event::Renew { owner, .. }
             | Event::Tick { owner }
-            | Event::Notice { owner }
+            | Event::OriginLost { owner }
             | Event::SendRoster { owner }
             | Event::RosterStored { owner, .. }
-            | Event::Learn { owner }
-            | Event::Registry { owner } => owner,
-            Event::Close => return self.close(true),
-            Event::Reopen => return self.close(false),
-            Event::Resend => return self.resend(),
-            Event::Roster {
+            | Event::LearnClosure { owner }
+            | Event::ReadRegistry { owner } => owner,
+            Event::CloseDomain => return self.set_closed(true),
+            Event::ReopenDomain => return self.set_closed(false),
+            Event::Redelegate => return self.redelegate(),
+            Event::WriteRoster {
                 owner,
                 roster,
                 answered,
             } => return self.write_roster(owner, roster, answered),
         };
-        if !self.acts[owner] {
+        if !self.active[owner] {
             return Ok(());
         }
-        let present = owner + 1 == self.owners.len();
-        let actor = &mut self.owners[owner];
-        if present {
-            actor.on_origin_heartbeat(ENTRY, now_ms);
+        let is_current = owner + 1 == self.owners.len();
+        let acting_owner = &mut self.owners[owner];
+        if is_current {
+            acting_owner.on_origin_heartbeat(ENTRY, now_ms);
         }
         match event {
             Event::Start { order, outcome, .. } => {
                 let answer = answered(order.target, order.task, order.run_id, outcome);
-                actor.on_start_result(now_ms, &answer, &mut out);
+                acting_owner.on_start_result(now_ms, &answer, &mut out);
             }
             Event::Stop { order, outcome, .. } => {
                 let answer = answered(order.target, order.task, order.run_id, outcome);
-                actor.on_stop_result(now_ms, &answer, &mut out);
+                acting_owner.on_stop_result(now_ms, &answer, &mut out);
             }
-            Event::Hold { order, outcome, .. } => {
+            Event::Renew { order, outcome, .. } => {
                 let (worker, fence) = (order.target.worker, order.target.fence);
-                actor.on_renew_result(now_ms, worker, fence, order.number, outcome, &mut out);
+                acting_owner.on_renew_result(
+                    now_ms,
+                    worker,
+                    fence,
+                    order.number,
+                    outcome,
+                    &mut out,
+                );
             }
             Event::Tick { .. } => {
-                actor.tick(now_ms, &mut out);
-                self.at(now_ms + TICK_MS, Event::Tick { owner });
+                acting_owner.tick(now_ms, &mut out);
+                self.schedule(now_ms + TICK_PERIOD_MS, Event::Tick { owner });
             }
-            Event::Notice { .. } => actor.on_origin_lost(now_ms, ENTRY, &mut out),
-            Event::Registry { .. } => {
+            Event::OriginLost { .. } => acting_owner.on_origin_lost(now_ms, ENTRY, &mut out),
+            Event::ReadRegistry { .. } => {
                 let listed = self.workers.iter().zip(&self.added_ms);
                 let listed = listed.filter(|(_, added_ms)| **added_ms <= now_ms);
                 let records = listed.map(|(worker, _)| worker.record.clone()).collect();
-                actor.set_workers(now_ms, records, &mut out);
-                self.at(now_ms + REGISTRY_MS, Event::Registry { owner });
-                self.at(now_ms, Event::SendRoster { owner });
+                acting_owner.set_workers(now_ms, records, &mut out);
+                self.schedule(now_ms + REGISTRY_PERIOD_MS, Event::ReadRegistry { owner });
+                self.schedule(now_ms, Event::SendRoster { owner });
             }
-            Event::Learn { .. } if self.closed_ms.is_some() => {
-                actor.close(now_ms, now_ms + BEGUN_MS, &mut out);
+            Event::LearnClosure { .. } if self.closed_ms.is_some() => {
+                acting_owner.close(now_ms, now_ms + STARTED_JOBS_MS, &mut out);
             }
-            Event::Learn { .. } => {
-                actor.reopen(now_ms, &mut out);
-                self.at(now_ms, Event::Resend);
+            Event::LearnClosure { .. } => {
+                acting_owner.reopen(now_ms, &mut out);
+                self.schedule(now_ms, Event::Redelegate);
             }
             Event::SendRoster { .. } => {
-                let roster = actor.roster();
-                actor.on_roster_sent(roster.clone());
+                let roster = acting_owner.roster();
+                acting_owner.on_roster_sent(roster.clone());
                 self.send_roster(owner, roster)?;
             }
-            Event::RosterStored { roster, .. } => actor.on_roster_stored(now_ms, roster, &mut out),
+            Event::RosterStored { roster, .. } => {
+                acting_owner.on_roster_stored(now_ms, roster, &mut out)
+            }
             Event::Arrive { .. }
             | Event::Submit { .. }
             | Event::Resize { .. }
-            | Event::Replace
-            | Event::Close
-            | Event::Reopen
-            | Event::Resend
-            | Event::Roster { .. } => {}
+            | Event::ReplaceOwner
+            | Event::CloseDomain
+            | Event::ReopenDomain
+            | Event::Redelegate
+            | Event::WriteRoster { .. } => {}
         }
         self.carry_out(owner, out)
     }
@@ -299,7 +310,7 @@
             unsafe_until_ms: 0,
             unsafe_owner: None,
         };
-        self.open_jobs.insert(id.clone(), entry_job.clone());
+        self.unfinished_jobs.insert(id.clone(), entry_job.clone());
         self.delegate(&id, &entry_job)
     }
 
@@ -321,9 +332,9 @@
         self.carry_out(known.owner, out)
     }
 
-    /// The entry takes a job back, for the next owner.
-    fn take_back(&mut self, id: &str, next: usize, may_run: bool) {
-        let Some(job) = self.open_jobs.get_mut(id) else {
+    /// The entry revokes a job, for the next owner.
+    fn revoke(&mut self, id: &str, next: usize, may_run: bool) {
+        let Some(job) = self.unfinished_jobs.get_mut(id) else {
             return;
         };
         if may_run {
@@ -334,39 +345,37 @@
         job.owner = next;
     }
 
-    /// The operator closes the failure domain or opens it again; owners learn of
-    /// it later, and the entry then sends again what they gave back.
-    fn close(&mut self, closed: bool) -> arbitrary::Result<()> {
+    /// The operator closes the failure domain or opens it again. Owners learn of it later.
+    fn set_closed(&mut self, closed: bool) -> arbitrary::Result<()> {
         self.closed_ms = closed.then_some(self.now_ms);
-        self.at(self.now_ms, Event::Resend);
+        self.schedule(self.now_ms, Event::Redelegate);
         for owner in 0..self.owners.len() {
             let learns_ms = self.now_ms + self.choices.int_in_range(0..=1500_u64)?;
-            self.at(learns_ms, Event::Learn { owner });
+            self.schedule(learns_ms, Event::LearnClosure { owner });
         }
         Ok(())
     }
 
-    /// The entry sends again what was given back.
-    fn resend(&mut self) -> arbitrary::Result<()> {
-        for id in std::mem::take(&mut self.sent_away) {
-            if let Some(job) = self.open_jobs.get(&id).cloned() {
+    /// The entry delegates the returned jobs again.
+    fn redelegate(&mut self) -> arbitrary::Result<()> {
+        for id in std::mem::take(&mut self.returned_jobs) {
+            if let Some(job) = self.unfinished_jobs.get(&id).cloned() {
                 self.delegate(&id, &job)?;
             }
         }
         Ok(())
     }
 
-    /// A roster is on its way to the store; an owner whose claim the store does
-    /// not hold writes nothing there.
+    /// Schedules the write of a roster, which fails if the store has another owner's claim.
     fn send_roster(&mut self, owner: usize, roster: Roster) -> arbitrary::Result<()> {
-        let path_ms = self.choices.int_in_range(1..=600)?;
-        let answered = !self.chance(20)?;
-        let event = Event::Roster {
+        let latency_ms = self.choices.int_in_range(1..=600)?;
+        let answered = !self.fault_occurs(20)?;
+        let event = Event::WriteRoster {
             owner,
             roster,
             answered,
         };
-        self.at(self.now_ms + path_ms, event);
+        self.schedule(self.now_ms + latency_ms, event);
         Ok(())
     }
 
@@ -380,40 +389,45 @@
             return Ok(());
         }
         self.record.roster = Some(roster.clone());
-        let path_ms = self.choices.int_in_range(1..=150)?;
+        let latency_ms = self.choices.int_in_range(1..=150)?;
         if answered {
             let event = Event::RosterStored { owner, roster };
-            self.at(self.now_ms + path_ms, event);
+            self.schedule(self.now_ms + latency_ms, event);
         }
         Ok(())
     }
 
-    fn replace(&mut self) -> arbitrary::Result<()> {
+    fn replace_owner(&mut self) -> arbitrary::Result<()> {
         let lost = self.owners.len() - 1;
-        // It dies, or goes on until it notices, later than it should.
+        // The owner crashes, or continues until it detects the loss of its link, possibly
+        // late.
         if self.choices.ratio(1, 2)? {
-            self.acts[lost] = false;
+            self.active[lost] = false;
         } else {
             let late_ms = self.choices.int_in_range(0..=800)?;
-            let notice_ms = self.now_ms + LINK_TIMEOUT_MS + late_ms;
-            self.at(notice_ms, Event::Notice { owner: lost });
+            let detected_ms = self.now_ms + LINK_TIMEOUT_MS + late_ms;
+            self.schedule(detected_ms, Event::OriginLost { owner: lost });
         }
         let next = self.owners.len();
-        for worker in 0..WORKERS {
+        for worker in 0..INITIAL_WORKERS {
             if self.choices.ratio(1, 4)? {
                 let until_ms = self.now_ms + self.choices.int_in_range(0..=3000_u64)?;
-                self.cuts.insert((next, format!("w{worker}")), until_ms);
+                self.partitions
+                    .insert((next, format!("w{worker}")), until_ms);
             }
         }
-        let known = self.choices.int_in_range(1..=WORKERS)?;
+        let known = self.choices.int_in_range(1..=INITIAL_WORKERS)?;
         self.take_over(known)?;
-        let whole_ms: u64 = self.choices.int_in_range(0..=2000)?;
-        self.at(self.now_ms + whole_ms, Event::Registry { owner: next });
-        for id in self.open_jobs.keys().cloned().collect::<Vec<_>>() {
-            self.take_back(&id, next, true);
+        let registry_ms: u64 = self.choices.int_in_range(0..=2000)?;
+        self.schedule(
+            self.now_ms + registry_ms,
+            Event::ReadRegistry { owner: next },
+        );
+        for id in self.unfinished_jobs.keys().cloned().collect::<Vec<_>>() {
+            self.revoke(&id, next, true);
         }
-        self.sent_away.clear();
-        for (id, job) in self.open_jobs.clone() {
+        self.returned_jobs.clear();
+        for (id, job) in self.unfinished_jobs.clone() {
             self.delegate(&id, &job)?;
         }
         Ok(())
@@ -421,9 +435,13 @@
 
     pub fn take_over(&mut self, known: usize) -> arbitrary::Result<()> {
         let term = self.owners.len() as u64 + 1;
-        let by_store = self.choices.ratio(2, 3)?;
+        let store_available = self.choices.ratio(2, 3)?;
         let follows = self.record.owner + 1 == self.owners.len();
-        let used = self.record.roster.clone().filter(|_| by_store && follows);
+        let used = self
+            .record
+            .roster
+            .clone()
+            .filter(|_| store_available && follows);
         let mut next = match used {
             Some(used) => {
                 let used: Vec<&str> = used.iter().map(|id| &**id).collect();
@@ -431,7 +449,7 @@
             }
             None => owner(term),
         };
-        if by_store {
+        if store_available {
             self.record = Record {
                 owner: self.owners.len(),
                 roster: None,
@@ -445,9 +463,9 @@
             next.close(self.now_ms, self.now_ms, &mut out);
         }
         self.owners.push(next);
-        self.acts.push(true);
+        self.active.push(true);
         let number = self.owners.len() - 1;
-        self.at(self.now_ms + TICK_MS, Event::Tick { owner: number });
+        self.schedule(self.now_ms + TICK_PERIOD_MS, Event::Tick { owner: number });
         self.carry_out(number, out)
     }
 
@@ -457,7 +475,7 @@
             worker.advance(self.now_ms);
             assert!(
                 worker.runs.len() <= 2,
-                "over capacity at {} ms",
+                "capacity exceeded at {} ms",
                 self.now_ms
             );
             for run in &worker.runs {
@@ -481,12 +499,16 @@
                 .expect("an event is stored once");
             self.step(event)?;
             self.check();
-            if self.open_jobs.is_empty() && at_ms > 3000 {
+            if self.unfinished_jobs.is_empty() && at_ms > 3000 {
                 return Ok(());
             }
-            // Trouble ends in time for every job to end.
-            self.trouble &= at_ms < END_MS / 2;
-            assert!(at_ms < END_MS, "jobs without an end: {:?}", self.open_jobs);
+            // Faults end early enough for every job to end.
+            self.faults_enabled &= at_ms < END_MS / 2;
+            assert!(
+                at_ms < END_MS,
+                "unfinished jobs: {:?}",
+                self.unfinished_jobs
+            );
         }
         Ok(())
     }
