--- a/crates/core/src/config.rs
+++ b/crates/core/src/config.rs
@@ -30,13 +30,11 @@
 
 /// All declared resources as of one store revision.
 #[derive(Clone, Debug, Default, PartialEq)]
+#[expect(missing_docs, reason = "fields explain themselves")]
 pub struct ConfigSnapshot {
     /// Highest store revision applied.
     pub revision: u64,
-    /// Teams by name.
     pub teams: BTreeMap<Arc<str>, Declared<TeamSpec>>,
-    /// Services by name.
     pub services: BTreeMap<Arc<str>, Declared<ServiceSpec>>,
-    /// Backend servers by name.
     pub backend_servers: BTreeMap<Arc<str>, Declared<BackendServerSpec>>,
 }
--- a/crates/core/src/dispatch/entry.rs
+++ b/crates/core/src/dispatch/entry.rs
@@ -198,7 +198,7 @@
             self.pool_lost(now_ms, &previous, RevocationCause::OwnerChanged, out);
         }
         let known = self.pools.get(&claim.pool);
-        let served = known.is_some_and(|view| view.load.serving);
+        let was_serving = known.is_some_and(|view| view.load.serving);
         let view = PoolView {
             holder,
             failure_domain: claim.failure_domain.clone(),
@@ -208,7 +208,7 @@
             delegated_millicores: 0,
         };
         self.pools.insert(claim.pool.clone(), view);
-        if load.serving && !served {
+        if load.serving && !was_serving {
             self.delegate_waiting(now_ms, out);
         }
     }
--- a/crates/core/src/dispatch/ownership.rs
+++ b/crates/core/src/dispatch/ownership.rs
@@ -206,14 +206,14 @@
             return;
         }
         let holder = holder_of(claim);
-        let own = pool.is_own && holder == pool.claim.as_ref().and_then(holder_of);
-        let news = revision > pool.stored.revision;
+        let is_own_claim = pool.is_own && holder == pool.claim.as_ref().and_then(holder_of);
+        let is_newer = revision > pool.stored.revision;
         pool.stored = StoredClaim {
             revision,
             holder,
             roster: record.roster.clone(),
         };
-        if !own || !news {
+        if !is_own_claim || !is_newer {
             return;
         }
         pool.roster_state.is_write_uncertain = false;
--- a/crates/core/src/dispatch/retirement.rs
+++ b/crates/core/src/dispatch/retirement.rs
@@ -66,7 +66,8 @@
         self.is_draining
     }
 
-    /// Whether the peer may close the link at any moment.
+    /// Whether this side has offered to close the link, which the peer may then do at any
+    /// time.
     pub fn is_offered(&self) -> bool {
         self.is_offered
     }
--- a/crates/core/tests/dispatch_history/events.rs
+++ b/crates/core/tests/dispatch_history/events.rs
@@ -89,7 +89,7 @@
     },
 }
 
-/// The store's record of the pool's claim.
+/// The pool's record in the store.
 #[derive(Clone, Debug, Default)]
 pub struct Record {
     pub owner: usize,
--- a/crates/core/tests/dispatch_history/simulation.rs
+++ b/crates/core/tests/dispatch_history/simulation.rs
@@ -314,22 +314,22 @@
         self.delegate(&id, &entry_job)
     }
 
-    fn delegate(&mut self, id: &str, known: &EntryJob) -> arbitrary::Result<()> {
+    fn delegate(&mut self, id: &str, entry_job: &EntryJob) -> arbitrary::Result<()> {
         let now_ms = self.now_ms;
-        let spec = job(id, known.tasks, 100);
-        let unsafe_for_ms = known.unsafe_until_ms.saturating_sub(now_ms);
-        let before = known.unsafe_owner.map(holder_of);
+        let spec = job(id, entry_job.tasks, 100);
+        let unsafe_for_ms = entry_job.unsafe_until_ms.saturating_sub(now_ms);
+        let unsafe_holder = entry_job.unsafe_owner.map(holder_of);
         let mut out = Vec::new();
-        let owner = &mut self.owners[known.owner];
+        let owner = &mut self.owners[entry_job.owner];
         owner.delegate(
             now_ms,
             ENTRY,
             spec,
             unsafe_for_ms,
-            before.as_ref(),
+            unsafe_holder.as_ref(),
             &mut out,
         );
-        self.carry_out(known.owner, out)
+        self.carry_out(entry_job.owner, out)
     }
 
     /// The entry revokes a job, for the next owner.
@@ -416,8 +416,8 @@
                     .insert((next, format!("w{worker}")), until_ms);
             }
         }
-        let known = self.choices.int_in_range(1..=INITIAL_WORKERS)?;
-        self.take_over(known)?;
+        let known_workers = self.choices.int_in_range(1..=INITIAL_WORKERS)?;
+        self.take_over(known_workers)?;
         let registry_ms: u64 = self.choices.int_in_range(0..=2000)?;
         self.schedule(
             self.now_ms + registry_ms,
@@ -433,7 +433,7 @@
         Ok(())
     }
 
-    pub fn take_over(&mut self, known: usize) -> arbitrary::Result<()> {
+    pub fn take_over(&mut self, known_workers: usize) -> arbitrary::Result<()> {
         let term = self.owners.len() as u64 + 1;
         let store_available = self.choices.ratio(2, 3)?;
         let follows = self.record.owner + 1 == self.owners.len();
@@ -455,7 +455,7 @@
                 roster: None,
             };
         }
-        let records = self.workers[..known].iter();
+        let records = self.workers[..known_workers].iter();
         let records = records.map(|worker| worker.record.clone());
         let mut out = Vec::new();
         next.set_workers(self.now_ms, records.collect(), &mut out);
--- a/crates/core/tests/dispatch_neighbours.rs
+++ b/crates/core/tests/dispatch_neighbours.rs
@@ -151,7 +151,7 @@
 #[test]
 fn vacant_pool_without_watchers_is_claimed_by_another_instance() {
     let (me, mut ownership) = non_watcher(300);
-    // All others of the failure domain are gone.
+    // No other instance of the failure domain remains.
     let remaining = (0..300).filter(|number| number % DOMAINS.len() != 2 || *number == me);
     ownership.set_members(1, remaining.map(node).collect());
     let vacant = pool::name("forde", 0);
