--- a/crates/core/src/dispatch/entry.rs
+++ b/crates/core/src/dispatch/entry.rs
@@ -195,7 +195,7 @@
                 pool: claim.pool.clone(),
                 owner: other.holder.owner.clone(),
             };
-            self.pool_lost(now_ms, &previous, RevocationCause::OwnerChanged, out);
+            self.on_pool_lost(now_ms, &previous, RevocationCause::OwnerChanged, out);
         }
         let known = self.pools.get(&claim.pool);
         let was_serving = known.is_some_and(|view| view.load.serving);
--- a/crates/core/src/dispatch/entry/revocation.rs
+++ b/crates/core/src/dispatch/entry/revocation.rs
@@ -34,14 +34,14 @@
     }
 
     /// Revokes the jobs of an owner whose link is down.
-    pub fn owner_lost(&mut self, now_ms: u64, owner: &str, out: &mut Vec<Command>) {
+    pub fn on_owner_lost(&mut self, now_ms: u64, owner: &str, out: &mut Vec<Command>) {
         for pool_owner in self.pools_owned_by(owner) {
-            self.pool_lost(now_ms, &pool_owner, RevocationCause::LinkLost, out);
+            self.on_pool_lost(now_ms, &pool_owner, RevocationCause::LinkLost, out);
         }
     }
 
     /// Revokes the jobs of an owner that no longer owns a pool.
-    pub fn pool_lost(
+    pub fn on_pool_lost(
         &mut self,
         now_ms: u64,
         pool_owner: &PoolOwner,
--- a/crates/core/src/dispatch/ownership/claiming.rs
+++ b/crates/core/src/dispatch/ownership/claiming.rs
@@ -46,7 +46,7 @@
     }
 
     /// Handles the outcome of writing a claim's record.
-    pub fn claim_written(
+    pub fn on_claim_written(
         &mut self,
         now_ms: u64,
         record: &ClaimRecord,
--- a/crates/core/src/dispatch/ownership/peers.rs
+++ b/crates/core/src/dispatch/ownership/peers.rs
@@ -57,7 +57,7 @@
     }
 
     /// Sets the list of instances in the store.
-    pub fn set_members(&mut self, now_ms: u64, nodes: Vec<Node>) {
+    pub fn set_listed_instances(&mut self, now_ms: u64, nodes: Vec<Node>) {
         self.has_read_store = true;
         let is_new = |node: &Node| {
             let peer = self.peers.get(&node.name);
--- a/crates/core/src/dispatch/retirement.rs
+++ b/crates/core/src/dispatch/retirement.rs
@@ -73,7 +73,7 @@
     }
 
     /// Records whether the peer is desired now.
-    pub fn observe(&mut self, now_ms: u64, is_desired: bool) {
+    pub fn update_desired(&mut self, now_ms: u64, is_desired: bool) {
         if is_desired {
             self.last_desired_ms = now_ms;
             self.is_draining &= self.is_offered;
@@ -84,7 +84,7 @@
     }
 
     /// Records that the peer has offered to close the link.
-    pub fn released_by_peer(&mut self) {
+    pub fn on_offer_received(&mut self) {
         self.is_offered_by_peer = true;
     }
 
@@ -99,7 +99,7 @@
     }
 
     /// Records that the offer has been sent.
-    pub fn offered(&mut self) {
+    pub fn on_offer_sent(&mut self) {
         self.is_offered = true;
     }
 }
--- a/crates/core/tests/dispatch_entry.rs
+++ b/crates/core/tests/dispatch_entry.rs
@@ -133,7 +133,7 @@
     update_pool(&mut entry, 0, "forde/0", "a", 0);
     submit(&mut entry, 1, 1, "x");
     let mut out = Vec::new();
-    entry.owner_lost(100, "a", &mut out);
+    entry.on_owner_lost(100, "a", &mut out);
     assert!(delegated(&update_pool(&mut entry, 110, "bergen/0", "b", 0)).is_empty());
     let out = update_pool(&mut entry, 120, "forde/0", "c", 0);
     let expected = (
@@ -142,11 +142,11 @@
         Some("a".to_owned()),
     );
     assert_eq!(delegated(&out), [expected]);
-    entry.owner_lost(200, "c", &mut Vec::new());
+    entry.on_owner_lost(200, "c", &mut Vec::new());
     // Runs of two owners may continue: no successor knows all of them.
     let out = update_pool(&mut entry, 210, "forde/0", "d", 0);
     assert_eq!(delegated(&out)[0].2, None);
-    entry.owner_lost(200, "d", &mut Vec::new());
+    entry.on_owner_lost(200, "d", &mut Vec::new());
     let mut out = Vec::new();
     entry.tick(200 + REDELEGATION_DELAY_MS, &mut out);
     assert_eq!(delegated(&out)[0].0, pool_owner("bergen/0", "b"));
@@ -165,7 +165,7 @@
             &result("x", outcome),
             &mut out,
         );
-        entry.owner_lost(3, "a", &mut out);
+        entry.on_owner_lost(3, "a", &mut out);
         entry.tick(3 + PLACEMENT_TIMEOUT_MS, &mut out);
         let (_, answer) = answers(&out)[0];
         assert_eq!(matches!(answer, Answer::MayHaveRun { .. }), may_have_run);
@@ -254,7 +254,7 @@
     let out = update_pool(&mut entry, 100, "forde/1", "b", 0);
     assert_eq!(delegated(&out)[0].0, pool_owner("forde/1", "b"));
     let from = pool_owner("forde/1", "b");
-    entry.pool_lost(101, &from, RevocationCause::OwnerChanged, &mut Vec::new());
+    entry.on_pool_lost(101, &from, RevocationCause::OwnerChanged, &mut Vec::new());
     let out = refuse(&mut entry, 102, "forde/0", "a", "y");
     assert!(out.iter().all(is_revocation));
     let mut out = Vec::new();
--- a/crates/core/tests/dispatch_neighbours.rs
+++ b/crates/core/tests/dispatch_neighbours.rs
@@ -43,7 +43,7 @@
     for domain in DOMAINS {
         ownership.set_pool_count(domain, POOLS);
     }
-    ownership.set_members(0, (0..count).map(node).collect());
+    ownership.set_listed_instances(0, (0..count).map(node).collect());
     for claim in claims {
         let record = ClaimRecord {
             claim: claim.clone(),
@@ -61,7 +61,7 @@
 #[test]
 fn small_deployment_is_a_full_mesh() {
     let mut ownership = instance(7, 36, &[]);
-    ownership.set_members(700, (0..36).map(node).collect());
+    ownership.set_listed_instances(700, (0..36).map(node).collect());
     assert_eq!(ownership.desired_peers().len(), 35);
     assert!(ownership.is_linked_to_owners());
 }
@@ -109,7 +109,7 @@
         for command in out {
             if let Command::WriteClaim { record, .. } = command {
                 let write = trefoil_core::dispatch::ownership::ClaimWriteOutcome::Conflict;
-                ownership.claim_written(now_ms, &record, &write, &mut Vec::new());
+                ownership.on_claim_written(now_ms, &record, &write, &mut Vec::new());
                 pools.push(record.claim.pool);
             }
         }
@@ -142,7 +142,7 @@
 fn vacant_pool_is_left_to_its_watchers() {
     let (_, mut ownership) = non_watcher(300);
     let remaining = (0..300).filter(|number| *number != 2).map(node);
-    ownership.set_members(1, remaining.collect());
+    ownership.set_listed_instances(1, remaining.collect());
     let vacant = pool::name("forde", 0);
     assert_eq!(owner_of(2, 0), node(2));
     assert!(!claimed(&mut ownership).contains(&vacant));
@@ -153,7 +153,7 @@
     let (me, mut ownership) = non_watcher(300);
     // No other instance of the failure domain remains.
     let remaining = (0..300).filter(|number| number % DOMAINS.len() != 2 || *number == me);
-    ownership.set_members(1, remaining.map(node).collect());
+    ownership.set_listed_instances(1, remaining.map(node).collect());
     let vacant = pool::name("forde", 0);
     let claimed = claimed(&mut ownership);
     assert!(claimed.contains(&vacant), "{me} {claimed:?}");
@@ -165,7 +165,7 @@
     let mut links: BTreeMap<String, usize> = BTreeMap::new();
     for me in 0..300 {
         let mut ownership = instance(me, 300, &[]);
-        ownership.set_members(700, (0..300).map(node).collect());
+        ownership.set_listed_instances(700, (0..300).map(node).collect());
         let names = names(&ownership.desired_peers());
         assert_eq!(names.len(), 3);
         for name in names {
@@ -179,9 +179,9 @@
 fn growing_list_is_not_taken_for_a_small_deployment() {
     let mut ownership = instance(200, 20, &[]);
     assert!(ownership.desired_peers().is_empty());
-    ownership.set_members(700, (0..40).map(node).collect());
+    ownership.set_listed_instances(700, (0..40).map(node).collect());
     assert!(ownership.desired_peers().is_empty());
-    ownership.set_members(1400, (0..40).map(node).collect());
+    ownership.set_listed_instances(1400, (0..40).map(node).collect());
     assert_eq!(ownership.desired_peers().len(), 40);
 }
 
@@ -235,7 +235,7 @@
     for me in (2..count).step_by(DOMAINS.len()).filter(|&me| strong(me)) {
         let mut ownership = Ownership::new(0, weighted(me));
         ownership.set_pool_count("forde", POOLS);
-        ownership.set_members(0, (0..count).map(weighted).collect());
+        ownership.set_listed_instances(0, (0..count).map(weighted).collect());
         let watched = ownership.local_pools();
         most = most.max(watched.len());
         for name in watched {
--- a/crates/core/tests/dispatch_ownership.rs
+++ b/crates/core/tests/dispatch_ownership.rs
@@ -50,7 +50,7 @@
 fn instance(me: &Node, others: &[Node]) -> Ownership {
     let mut ownership = Ownership::new(0, me.clone());
     ownership.set_pool_count("forde", 1);
-    ownership.set_members(0, others.to_vec());
+    ownership.set_listed_instances(0, others.to_vec());
     ownership
 }
 
@@ -77,7 +77,7 @@
     assert_eq!((record.claim.term, *revision), (1, 0));
     let mut out = Vec::new();
     let written = ClaimWriteOutcome::Written { revision: 7 };
-    ownership.claim_written(20, record, &written, &mut out);
+    ownership.on_claim_written(20, record, &written, &mut out);
     assert_eq!(out, [acquired(&record.claim)]);
     assert!(ownership.owns_any());
 }
@@ -114,7 +114,7 @@
     let (me, owner) = (node("a", 1, 250), node("b", 2, 250));
     let mut ownership = instance(&me, &[]);
     let started_ms = 5000;
-    ownership.set_members(started_ms, vec![]);
+    ownership.set_listed_instances(started_ms, vec![]);
     ownership.learn_stored_claim(started_ms, record(claim(&owner, 1)), 5, &mut Vec::new());
     assert_eq!(
         claims_at(&mut ownership, started_ms, started_ms + 600),
@@ -159,7 +159,7 @@
     let (me, owner) = (node("a", 1, 250), node("b", 2, 250));
     let mut ownership = instance(&me, std::slice::from_ref(&owner));
     ownership.learn_stored_claim(0, record(claim(&owner, 1)), 5, &mut Vec::new());
-    ownership.set_members(100, vec![node("b", 3, 250)]);
+    ownership.set_listed_instances(100, vec![node("b", 3, 250)]);
     assert_eq!(claims_at(&mut ownership, 100, 2000), Some(100));
 }
 
@@ -188,7 +188,7 @@
         };
         let record = record.clone();
         let mut out = Vec::new();
-        ownership.claim_written(2100, &record, &ClaimWriteOutcome::NoAnswer, &mut out);
+        ownership.on_claim_written(2100, &record, &ClaimWriteOutcome::NoAnswer, &mut out);
         out.extend(tick(&mut ownership, 2000 + CLAIM_STORE_TIMEOUT_MS));
         assert_eq!(out.contains(&acquired(&record.claim)), claims);
     }
@@ -203,7 +203,7 @@
         panic!("{out:?}");
     };
     let written = ClaimWriteOutcome::Written { revision: 7 };
-    ownership.claim_written(2010, own, &written, &mut Vec::new());
+    ownership.on_claim_written(2010, own, &written, &mut Vec::new());
     let mut out = Vec::new();
     ownership.learn_claim(2020, claim(&other, 2), false, &mut out);
     assert_eq!(out[0], Command::Released(POOL.to_owned()));
@@ -222,7 +222,7 @@
         panic!("{out:?}");
     };
     let written = ClaimWriteOutcome::Written { revision: 7 };
-    ownership.claim_written(20, record, &written, &mut Vec::new());
+    ownership.on_claim_written(20, record, &written, &mut Vec::new());
     (ownership, record.clone())
 }
 
@@ -253,7 +253,7 @@
     assert_eq!(written(&tick(&mut ownership, 300)), None, "one at a time");
     let stored = ClaimWriteOutcome::Written { revision: 8 };
     let mut out = Vec::new();
-    ownership.claim_written(310, &record, &stored, &mut out);
+    ownership.on_claim_written(310, &record, &stored, &mut out);
     let roster_stored = |roster: Option<Roster>| Command::RosterStored {
         pool: POOL.to_owned(),
         roster: roster.unwrap(),
@@ -267,11 +267,11 @@
     let (mut ownership, _) = owning(&node("a", 1, 250));
     ownership.set_roster(POOL, roster(&["w1"]));
     let (record, _) = written(&tick(&mut ownership, 50)).unwrap();
-    ownership.claim_written(150, &record, &ClaimWriteOutcome::NoAnswer, &mut Vec::new());
+    ownership.on_claim_written(150, &record, &ClaimWriteOutcome::NoAnswer, &mut Vec::new());
     let (again, _) = written(&tick(&mut ownership, 200)).unwrap();
     assert_eq!(again, record);
     // The first write took effect after all, so the second conflicts.
-    ownership.claim_written(210, &again, &ClaimWriteOutcome::Conflict, &mut Vec::new());
+    ownership.on_claim_written(210, &again, &ClaimWriteOutcome::Conflict, &mut Vec::new());
     let mut out = Vec::new();
     ownership.learn_stored_claim(220, record, 8, &mut out);
     assert!(matches!(out[0], Command::RosterStored { .. }));
@@ -297,7 +297,7 @@
             false => ClaimWriteOutcome::NoAnswer,
         };
         let mut out = Vec::new();
-        ownership.claim_written(2100, &own, &answer, &mut out);
+        ownership.on_claim_written(2100, &own, &answer, &mut out);
         ownership.tick(2100 + CLAIM_STORE_TIMEOUT_MS, &mut out);
         let Command::Acquired { predecessor, .. } = &out[0] else {
             panic!("{out:?}");
@@ -317,7 +317,7 @@
         panic!("{out:?}");
     };
     let mut out = Vec::new();
-    ownership.claim_written(2010, record, &ClaimWriteOutcome::NoAnswer, &mut out);
+    ownership.on_claim_written(2010, record, &ClaimWriteOutcome::NoAnswer, &mut out);
     assert!(tick(&mut ownership, 2020).is_empty(), "it reaches no peer");
     ownership.learn_stored_claim(2030, record.clone(), 9, &mut out);
     assert!(out.contains(&acquired(&record.claim)));
--- a/crates/core/tests/dispatch_retirement.rs
+++ b/crates/core/tests/dispatch_retirement.rs
@@ -44,11 +44,11 @@
                 let is_desired = now_ms < UNNEEDED_FROM_MS && choices.ratio(1, 8)?;
                 let end = &mut ends[me];
                 if end.offer_at_ms.is_some_and(|at_ms| now_ms >= at_ms) {
-                    end.retirement.released_by_peer();
+                    end.retirement.on_offer_received();
                 }
                 end.job_ends_ms.retain(|&until_ms| now_ms < until_ms);
                 if now_ms.is_multiple_of(CHECK_PERIOD_MS) {
-                    end.retirement.observe(now_ms, is_desired);
+                    end.retirement.update_desired(now_ms, is_desired);
                 }
                 // An end may delegate a job at any time unless it is draining.
                 if !end.retirement.is_draining()
@@ -60,7 +60,7 @@
                 }
                 match end.retirement.next_step(!end.job_ends_ms.is_empty()) {
                     Some(Step::Offer) => {
-                        end.retirement.offered();
+                        end.retirement.on_offer_sent();
                         let latency_ms = choices.int_in_range(1..=LATENCY_MAX_MS)?;
                         ends[1 - me].offer_at_ms = Some(now_ms + latency_ms);
                     }
@@ -84,12 +84,12 @@
 #[test]
 fn peer_that_needs_the_link_keeps_it() {
     let mut accepted = Retirement::new(0, Side::Accepted);
-    accepted.released_by_peer();
+    accepted.on_offer_received();
     for now_ms in (0..60_000).step_by(100) {
-        accepted.observe(now_ms, true);
+        accepted.update_desired(now_ms, true);
         assert_eq!(accepted.next_step(false), None);
     }
-    accepted.observe(60_000, false);
+    accepted.update_desired(60_000, false);
     assert_eq!(accepted.next_step(true), None, "its jobs end first");
     assert_eq!(accepted.next_step(false), Some(Step::Close));
 }
@@ -97,8 +97,8 @@
 #[test]
 fn link_that_is_needed_again_before_the_offer_is_kept() {
     let mut dialed = Retirement::new(0, Side::Dialed);
-    dialed.observe(5000, false);
+    dialed.update_desired(5000, false);
     assert!(dialed.is_draining());
-    dialed.observe(5100, true);
+    dialed.update_desired(5100, true);
     assert!(!dialed.is_draining());
 }
--- a/crates/instance/src/instance.rs
+++ b/crates/instance/src/instance.rs
@@ -291,7 +291,9 @@
             }
             let count = deployment.pool_counts.get(&self.node.failure_domain);
             state.pool_count = count.copied().unwrap_or(state.pool_count);
-            state.ownership.set_members(now_ms, deployment.nodes);
+            state
+                .ownership
+                .set_listed_instances(now_ms, deployment.nodes);
             state.entry.set_local_pools(state.ownership.local_pools());
             let failure_domains = deployment.pool_counts.into_keys();
             state.entry.set_failure_domains(failure_domains);
--- a/crates/instance/src/instance/calls.rs
+++ b/crates/instance/src/instance/calls.rs
@@ -73,7 +73,9 @@
             info!(instance.log, "claim written"; "pool" => &claim.pool, "term" => claim.term, "outcome" => ?write);
             instance.update(|state, now_ms, effects| {
                 let out = &mut effects.ownership;
-                state.ownership.claim_written(now_ms, &record, &write, out);
+                state
+                    .ownership
+                    .on_claim_written(now_ms, &record, &write, out);
             });
             instance.store_read_requested.notify_waiters();
         });
--- a/crates/instance/src/instance/effects.rs
+++ b/crates/instance/src/instance/effects.rs
@@ -75,7 +75,7 @@
                     let out = &mut effects.entry;
                     state
                         .entry
-                        .pool_lost(now_ms, &to, RevocationCause::OwnerChanged, out);
+                        .on_pool_lost(now_ms, &to, RevocationCause::OwnerChanged, out);
                 }
             }
             entry::Command::Revoked {
@@ -221,7 +221,7 @@
         let out = &mut effects.entry;
         state
             .entry
-            .pool_lost(now_ms, &owned, RevocationCause::OwnerChanged, out);
+            .on_pool_lost(now_ms, &owned, RevocationCause::OwnerChanged, out);
         drop(state);
         self.store_read_requested.notify_waiters();
         self.send_heartbeats();
--- a/crates/instance/src/instance/frames.rs
+++ b/crates/instance/src/instance/frames.rs
@@ -56,7 +56,7 @@
                     self.send_declarations(state, id, request.revision);
                 }
                 Body::PoolWorkers(reported) => state.on_pool_workers(reported),
-                Body::Retire(_) => link.retirement.released_by_peer(),
+                Body::Retire(_) => link.retirement.on_offer_received(),
                 Body::Config(_) | Body::Hello(_) => {}
             }
         });
@@ -126,7 +126,7 @@
             let out = &mut effects.entry;
             state
                 .entry
-                .pool_lost(now_ms, &lost, RevocationCause::OwnerChanged, out);
+                .on_pool_lost(now_ms, &lost, RevocationCause::OwnerChanged, out);
         }
         if state.declared.is_behind(heartbeat.declarations_revision) {
             self.fetch_declarations(state, id, now_ms);
@@ -213,7 +213,7 @@
             let out = &mut effects.entry;
             state
                 .entry
-                .pool_lost(self.now_ms(), to, RevocationCause::LinkLost, out);
+                .on_pool_lost(self.now_ms(), to, RevocationCause::LinkLost, out);
         }
     }
 
--- a/crates/instance/src/instance/peers.rs
+++ b/crates/instance/src/instance/peers.rs
@@ -262,7 +262,7 @@
             }
         }
         let out = &mut effects.entry;
-        state.entry.owner_lost(now_ms, &name, out);
+        state.entry.on_owner_lost(now_ms, &name, out);
     }
 
     /// Closes all links after a stall of this process.
--- a/crates/instance/src/instance/retire.rs
+++ b/crates/instance/src/instance/retire.rs
@@ -46,7 +46,7 @@
         let desired: HashSet<&str> = desired.map(|node| node.name.as_str()).collect();
         for link in peers.links.values_mut() {
             let is_desired = desired.contains(link.peer.name.as_str());
-            link.retirement.observe(now_ms, is_desired);
+            link.retirement.update_desired(now_ms, is_desired);
         }
         let links = peers.links.values();
         for link in links.filter(|link| link.retirement.is_draining()) {
@@ -62,7 +62,7 @@
         };
         // A link whose send queue is full is closed by the next heartbeat.
         if link.sender.send(encode(Body::Retire(Retire {}))) {
-            link.retirement.offered();
+            link.retirement.on_offer_sent();
         }
     }
 }
