--- a/crates/core/src/dispatch/ownership.rs
+++ b/crates/core/src/dispatch/ownership.rs
@@ -303,7 +303,7 @@
         }
         if let Some(pending_claim) = &mut self.pending_claim {
             if now_ms >= pending_claim.sent_ms + CLAIM_STORE_TIMEOUT_MS {
-                // The record may have been replaced by now, so its roster may be outdated.
+                // Without an answer, the record and its roster may have changed since.
                 pending_claim.predecessor = None;
                 match self.reaches_majority() {
                     true => self.acquire(out),
--- a/crates/core/src/dispatch/ownership/candidates.rs
+++ b/crates/core/src/dispatch/ownership/candidates.rs
@@ -10,7 +10,7 @@
     CLAIM_STAGGER_MS, OWNER_LOST_TIMEOUT_MS, YIELD_AFTER_MS, YIELD_FACTOR,
 };
 
-/// Timeout for a link with an owner that has none, from when its claim is learned.
+/// Timeout for the first link with an owner, from when its claim is learned.
 const OWNER_DIAL_TIMEOUT_MS: u64 = 700;
 /// Timeout for a link with a candidate that the store lists; dialing takes less.
 const CANDIDATE_DIAL_TIMEOUT_MS: u64 = 800;
@@ -36,7 +36,7 @@
         knows_enough && now_ms >= since_ms + better_candidates * CLAIM_STAGGER_MS
     }
 
-    /// Whether a pool has no owner that is reachable and keeps it.
+    /// Whether a pool has no owner, or one that is lost, leaving or yields it.
     fn is_vacant(&self, now_ms: u64, pool: &Pool) -> bool {
         let Some(owner) = pool.owner() else {
             return true;
@@ -74,14 +74,14 @@
         let owner = self.pools[name].owner();
         let owner = owner.map_or("", |node| node.name.as_str());
         let own = self.candidate_rank(&self.me);
-        let before = self.peers.values().filter(|peer| {
+        let better = self.peers.values().filter(|peer| {
             peer.is_candidate(&self.me)
                 && self.may_be_up(now_ms, peer)
                 && peer.node.name != owner
                 && self.candidate_rank(&peer.node) < own
                 && (self.is_full_mesh() || self.watches(&peer.node, name))
         });
-        before.take(BETTER_CANDIDATES_MAX).count() as u64
+        better.take(BETTER_CANDIDATES_MAX).count() as u64
     }
 
     fn may_be_up(&self, now_ms: u64, peer: &Peer) -> bool {
@@ -132,16 +132,16 @@
     /// Whether a majority of the peers, or of those in the local failure domain, is linked.
     pub(super) fn reaches_majority(&self) -> bool {
         let peers = self.majority_peers();
-        let most = |own: bool| {
+        let is_majority_linked = |local_only: bool| {
             let domain = &self.me.failure_domain;
             let peers = peers.iter();
-            let peers = peers.filter(|peer| !own || peer.node.failure_domain == *domain);
+            let peers = peers.filter(|peer| !local_only || peer.node.failure_domain == *domain);
             let (all, linked) = peers.fold((1, 1), |(all, linked), peer| {
                 (all + 1, linked + usize::from(peer.is_linked()))
             });
             linked * 2 > all && all > 1
         };
-        most(true) || most(false)
+        is_majority_linked(true) || is_majority_linked(false)
     }
 }
 
--- a/crates/core/src/dispatch/ownership/claiming.rs
+++ b/crates/core/src/dispatch/ownership/claiming.rs
@@ -33,9 +33,9 @@
         let Some(pool) = self.pools.get(&claim.pool) else {
             return;
         };
-        let is_newest = pool.claim.as_ref().map(rank) == Some(rank(&claim));
-        let is_mine = claim.owner.as_ref() == Some(&self.me);
-        if is_mine && is_newest && !pool.is_own && claim.term > pool.owned_term {
+        let is_highest = pool.claim.as_ref().map(rank) == Some(rank(&claim));
+        let is_own = claim.owner.as_ref() == Some(&self.me);
+        if is_own && is_highest && !pool.is_own && claim.term > pool.owned_term {
             self.pending_claim = Some(PendingClaim {
                 claim,
                 sent_ms: now_ms,
@@ -50,7 +50,7 @@
         &mut self,
         now_ms: u64,
         record: &ClaimRecord,
-        write: &ClaimWriteOutcome,
+        outcome: &ClaimWriteOutcome,
         out: &mut Vec<Command>,
     ) {
         let claim = &record.claim;
@@ -59,7 +59,7 @@
         if let Some(pool) = self.pools.get_mut(&claim.pool) {
             pool.roster_state.is_write_in_flight = false;
         }
-        match write {
+        match outcome {
             ClaimWriteOutcome::Written { revision } => {
                 self.set_stored(record, *revision, out);
                 if is_pending {
@@ -84,6 +84,7 @@
         }
     }
 
+    /// Takes ownership by the pending claim, unless a higher claim is known.
     pub(super) fn acquire(&mut self, out: &mut Vec<Command>) {
         let Some(pending_claim) = self.pending_claim.take() else {
             return;
