--- a/crates/fakes/src/client.rs
+++ b/crates/fakes/src/client.rs
@@ -1,4 +1,4 @@
-//! A pooled HTTP client for the load tool and for tests.
+//! A pooled HTTP client for the load generator and for tests.
 
 use std::net::SocketAddr;
 
@@ -11,31 +11,29 @@
     rt::TokioExecutor,
 };
 
-/// Why a call has no answer.
+/// Why a request has no response.
 #[derive(Clone, Debug, Display, Error)]
 pub enum CallError {
-    /// The connection could not be made: nothing was sent.
+    /// The connection could not be established; nothing was sent.
     #[display("cannot connect: {detail}; is the server up?")]
     Connect {
-        /// What the system said.
+        /// Error message of the operating system.
         detail: String,
     },
-    /// The connection ended after the request may have been sent.
-    #[display("no whole answer: {detail}")]
+    /// The connection ended before the whole response; the request may have been received.
+    #[display("incomplete response: {detail}")]
     Broken {
-        /// What the library said.
+        /// Error message of the HTTP library.
         detail: String,
     },
 }
 
-/// A whole answer.
+/// A response whose body has been read.
+#[expect(missing_docs, reason = "the fields explain themselves")]
 #[derive(Clone, Debug)]
 pub struct Reply {
-    /// Status.
     pub status: StatusCode,
-    /// Headers.
     pub headers: HeaderMap,
-    /// Body.
     pub body: Bytes,
 }
 
@@ -50,7 +48,7 @@
         let mut connector = HttpConnector::new();
         connector.set_nodelay(true);
         let inner = legacy::Client::builder(TokioExecutor::new())
-            // A request is never sent twice behind the caller's back.
+            // A retry inside the client could make the server see a request twice.
             .retry_canceled_requests(false)
             .build(connector);
         Self { inner }
@@ -58,7 +56,7 @@
 }
 
 impl Client {
-    /// Sends a request and reads the whole answer.
+    /// Sends a request and reads the whole response.
     pub async fn send(&self, request: Request<Full<Bytes>>) -> Result<Reply, CallError> {
         let response = self.open(request).await?;
         let (parts, body) = response.into_parts();
@@ -72,7 +70,7 @@
         })
     }
 
-    /// Sends a request and gives the answer with its body still to come.
+    /// Sends a request and returns the response with its body unread.
     pub async fn open(
         &self,
         request: Request<Full<Bytes>>,
@@ -86,13 +84,13 @@
         })
     }
 
-    /// Reads `path` at `address`.
+    /// Sends a GET request for `path` to `address`.
     pub async fn get(&self, address: SocketAddr, path: &str) -> Result<Reply, CallError> {
         self.send(request(Method::GET, address, path, Bytes::new()))
             .await
     }
 
-    /// Posts a JSON `body` to `path` at `address`.
+    /// Sends a POST request with a JSON `body` to `path` at `address`.
     pub async fn post(
         &self,
         address: SocketAddr,
@@ -103,7 +101,7 @@
     }
 }
 
-/// A request of a JSON body; a `path` that is no path asks for `/`.
+/// Builds a request with a JSON body; an invalid `path` is replaced by `/`.
 pub fn request(
     method: Method,
     address: SocketAddr,
--- a/crates/fakes/src/http.rs
+++ b/crates/fakes/src/http.rs
@@ -1,4 +1,4 @@
-//! The little of HTTP that the stand-ins share: a server, bodies and JSON.
+//! HTTP server, response bodies and JSON helpers shared by the fakes.
 
 use std::{
     future::Future,
@@ -26,24 +26,24 @@
     task::{JoinHandle, JoinSet},
 };
 
-/// Ends a connection without an answer.
+/// Returned by a handler to close the connection without a response.
 #[derive(Clone, Copy, Debug, Display, Error)]
-#[display("the connection is closed on order")]
+#[display("connection closed by an injected fault")]
 pub struct CloseConnection;
 
-/// What a handler gives: an answer, or the end of the connection.
-pub type Answer = Result<Response<Body>, CloseConnection>;
+/// Result of a request handler.
+pub type HandlerResult = Result<Response<Body>, CloseConnection>;
 
-/// A piece of a streamed body.
-pub type Piece = Result<Bytes, CloseConnection>;
+/// A chunk of a streamed body.
+pub type Chunk = Result<Bytes, CloseConnection>;
 
-/// Body of an answer.
+/// Body of a response.
 #[derive(Debug)]
 pub enum Body {
-    /// Known as a whole; `None` once it has been sent.
-    Whole(Option<Bytes>),
-    /// Sent piece by piece.
-    Stream(mpsc::Receiver<Piece>),
+    /// A complete body; `None` once it has been sent.
+    Full(Option<Bytes>),
+    /// Sent chunk by chunk.
+    Stream(mpsc::Receiver<Chunk>),
 }
 
 impl hyper::body::Body for Body {
@@ -54,15 +54,15 @@
         self: Pin<&mut Self>,
         context: &mut Context<'_>,
     ) -> Poll<Option<Result<Frame<Bytes>, CloseConnection>>> {
-        let piece = match self.get_mut() {
-            Self::Whole(bytes) => bytes.take().map(Ok),
-            Self::Stream(pieces) => ready!(pieces.poll_recv(context)),
+        let chunk = match self.get_mut() {
+            Self::Full(bytes) => bytes.take().map(Ok),
+            Self::Stream(chunks) => ready!(chunks.poll_recv(context)),
         };
-        Poll::Ready(piece.map(|piece| piece.map(Frame::data)))
+        Poll::Ready(chunk.map(|chunk| chunk.map(Frame::data)))
     }
 }
 
-/// A server that stops, with all its connections, when dropped.
+/// A running server. Dropping it stops the server and closes its connections.
 #[derive(Debug)]
 pub struct Server {
     address: SocketAddr,
@@ -70,23 +70,23 @@
 }
 
 impl Server {
-    /// Serves `handler` on `listener`.
+    /// Serves the connections of `listener` with `handler`.
     pub fn start<H, F>(listener: TcpListener, handler: H) -> io::Result<Self>
     where
         H: Fn(Request<Incoming>) -> F + Clone + Send + Sync + 'static,
-        F: Future<Output = Answer> + Send + 'static,
+        F: Future<Output = HandlerResult> + Send + 'static,
     {
         let address = listener.local_addr()?;
-        let task = tokio::spawn(accept_all(listener, handler));
+        let task = tokio::spawn(accept_connections(listener, handler));
         Ok(Self { address, task })
     }
 
-    /// Address served.
+    /// Address that the server listens on.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Waits for as long as the server runs.
+    /// Waits until the server stops.
     pub async fn wait(&mut self) {
         let _ = (&mut self.task).await;
     }
@@ -98,10 +98,10 @@
     }
 }
 
-async fn accept_all<H, F>(listener: TcpListener, handler: H)
+async fn accept_connections<H, F>(listener: TcpListener, handler: H)
 where
     H: Fn(Request<Incoming>) -> F + Clone + Send + Sync + 'static,
-    F: Future<Output = Answer> + Send + 'static,
+    F: Future<Output = HandlerResult> + Send + 'static,
 {
     let mut connections = JoinSet::new();
     loop {
@@ -119,10 +119,10 @@
 async fn serve_connection<H, F>(stream: TcpStream, handler: H)
 where
     H: Fn(Request<Incoming>) -> F,
-    F: Future<Output = Answer>,
+    F: Future<Output = HandlerResult>,
 {
     let _ = stream.set_nodelay(true);
-    // An error of a connection is its peer's or ordered: nothing to report.
+    // Errors come from the client or from injected faults.
     let _ = http1::Builder::new()
         .serve_connection(TokioIo::new(stream), service_fn(handler))
         .await;
@@ -136,39 +136,43 @@
         .map_err(|_| CloseConnection)
 }
 
-/// Reads JSON; an empty body stands for `{}`.
-pub fn from_json<T: DeserializeOwned>(body: &[u8]) -> Result<T, serde_json::Error> {
+/// Parses JSON; an empty body counts as `{}`.
+pub fn parse_json<T: DeserializeOwned>(body: &[u8]) -> Result<T, serde_json::Error> {
     let body = if body.is_empty() { b"{}" } else { body };
     serde_json::from_slice(body)
 }
 
-/// An answer of status 200 with a JSON body.
-pub fn ok_json<T: Serialize>(value: &T) -> Answer {
+/// A response of status 200 with a JSON body.
+pub fn ok_json<T: Serialize>(value: &T) -> HandlerResult {
     json(StatusCode::OK, value)
 }
 
-/// An answer with a JSON body.
-pub fn json<T: Serialize>(status: StatusCode, value: &T) -> Answer {
+/// A response with a JSON body.
+pub fn json<T: Serialize>(status: StatusCode, value: &T) -> HandlerResult {
     let bytes = serde_json::to_vec(value).map_err(|_| CloseConnection)?;
-    let mut response = Response::new(Body::Whole(Some(bytes.into())));
+    let mut response = Response::new(Body::Full(Some(bytes.into())));
     *response.status_mut() = status;
-    response.headers_mut().insert(CONTENT_TYPE, mime_json());
+    response
+        .headers_mut()
+        .insert(CONTENT_TYPE, json_content_type());
     Ok(response)
 }
 
-/// An answer that names an error.
-pub fn error(status: StatusCode, message: &str) -> Answer {
+/// A response whose JSON body holds an error message.
+pub fn error(status: StatusCode, message: &str) -> HandlerResult {
     json(status, &ErrorBody { error: message })
 }
 
-/// A streamed JSON answer.
-pub fn stream(pieces: mpsc::Receiver<Piece>) -> Answer {
-    let mut response = Response::new(Body::Stream(pieces));
-    response.headers_mut().insert(CONTENT_TYPE, mime_json());
+/// A streamed JSON response.
+pub fn stream(chunks: mpsc::Receiver<Chunk>) -> HandlerResult {
+    let mut response = Response::new(Body::Stream(chunks));
+    response
+        .headers_mut()
+        .insert(CONTENT_TYPE, json_content_type());
     Ok(response)
 }
 
-fn mime_json() -> hyper::header::HeaderValue {
+fn json_content_type() -> hyper::header::HeaderValue {
     hyper::header::HeaderValue::from_static("application/json")
 }
 
--- a/crates/fakes/src/lib.rs
+++ b/crates/fakes/src/lib.rs
@@ -1,8 +1,8 @@
-//! Stand-ins for the platform and the backend servers, a bounded load tool, a
-//! relay that can be cut, and a checker of histories.
+//! Fakes of the platform and of backend servers, a load generator, a TCP relay that injects link
+//! faults, and a checker of request histories.
 //!
-//! Every part can be started in-process by a test and stops when its handle is
-//! dropped; the programs of this package only parse arguments and start one.
+//! Tests start each part in-process; it stops when its handle is dropped. The binaries of this
+//! package only parse arguments and start one part.
 
 pub mod check;
 pub mod client;
--- a/crates/fakes/src/platform.rs
+++ b/crates/fakes/src/platform.rs
@@ -1,15 +1,14 @@
-//! Stand-in for the platform's key-value service: etcd v3's JSON mapping over
-//! HTTP/1.1, with faults on order and counters of calls.
+//! Fake of the platform's key-value service: etcd v3's JSON mapping over HTTP/1.1, with injected
+//! faults and counters of calls.
 //!
-//! Writes are synced one after another, so their rate is bounded as the
-//! platform's is. `POST /fake/instances` sets the whole instance list: entries
-//! that are missing from it are removed.
+//! Writes are synced one at a time, so that their rate is limited as at the platform.
+//! `POST /fake/instances` replaces the instance list.
 
 mod defaults;
 pub mod faults;
-pub mod messages;
+mod messages;
 mod service;
-pub mod store;
+mod store;
 mod watch;
 
 use std::{
@@ -22,7 +21,7 @@
 use serde_json::Value;
 use tokio::{
     net::TcpListener,
-    sync::watch as signal,
+    sync::watch as watch_channel,
     task::JoinHandle,
     time::{interval, sleep},
 };
@@ -34,21 +33,21 @@
 
 /// Prefix of the keys of the platform's instance list.
 pub const INSTANCE_LIST_PREFIX: &str = "/platform/instances/";
-/// End of the range of those keys: the prefix with its last byte raised.
+/// End of the key range: the prefix with its last byte incremented.
 const INSTANCE_LIST_END: &str = "/platform/instances0";
-const EXPIRY_TICK_MS: u64 = 50;
+const EXPIRY_CHECK_MS: u64 = 50;
 
-/// How the stand-in behaves.
+/// Options of the fake platform.
 #[derive(Clone, Debug)]
 pub struct PlatformOptions {
-    /// Time that a synced write takes, in milliseconds.
+    /// Time that it takes to sync a write, in milliseconds.
     pub sync_ms: u64,
-    /// Changes kept for watches that resume.
+    /// Number of changes kept for watches that start at an earlier revision.
     pub history_max: usize,
-    /// Leave fields of default value out of answers, as etcd itself does:
-    /// `succeeded`, `kvs`, `count`, the type of a write event and the like.
+    /// Omit fields with default values from responses, as etcd does, such as `succeeded`, `kvs`,
+    /// `count` and the type of a write event.
     pub omit_defaults: bool,
-    /// Faults from the start.
+    /// Initial faults.
     pub faults: Faults,
 }
 
@@ -63,7 +62,7 @@
     }
 }
 
-/// What the parts of a running stand-in share.
+/// State shared by the request handlers.
 #[derive(Debug)]
 struct Shared {
     sync_ms: u64,
@@ -73,8 +72,8 @@
     counters: Mutex<Counters>,
     /// Held while a write is synced.
     sync: tokio::sync::Mutex<()>,
-    /// Raised at every change of the store or the faults.
-    changed: signal::Sender<u64>,
+    /// Notified of every change of the store or the faults.
+    changed: watch_channel::Sender<u64>,
 }
 
 impl Shared {
@@ -90,27 +89,27 @@
         lock(&self.counters)
     }
 
-    fn raise(&self) {
+    fn notify_change(&self) {
         self.changed.send_modify(|count| *count += 1);
     }
 
-    fn update_faults(self: &Arc<Self>, order: &FaultUpdate) {
-        order.apply(&mut self.faults());
-        self.raise();
-        if let Some(down_for_ms) = order.down_for_ms {
-            tokio::spawn(up_again(Arc::clone(self), down_for_ms));
+    fn update_faults(self: &Arc<Self>, update: &FaultUpdate) {
+        update.apply(&mut self.faults());
+        self.notify_change();
+        if let Some(down_for_ms) = update.down_for_ms {
+            tokio::spawn(end_outage(Arc::clone(self), down_for_ms));
         }
     }
 
     fn expire_lease(&self, id: i64) -> bool {
         let revoked = self.store().revoke(Int64(id));
-        self.raise();
+        self.notify_change();
         revoked
     }
 
     fn set_instances(self: &Arc<Self>, entries: Vec<Value>) {
         let lag_ms = self.faults().instance_list_lag_ms;
-        tokio::spawn(show_instances(Arc::clone(self), entries, lag_ms));
+        tokio::spawn(publish_instances(Arc::clone(self), entries, lag_ms));
     }
 }
 
@@ -118,35 +117,35 @@
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-async fn up_again(shared: Arc<Shared>, down_for_ms: u64) {
+async fn end_outage(shared: Arc<Shared>, down_for_ms: u64) {
     sleep(Duration::from_millis(down_for_ms)).await;
     shared.faults().down = false;
-    shared.raise();
+    shared.notify_change();
 }
 
-async fn show_instances(shared: Arc<Shared>, entries: Vec<Value>, lag_ms: u64) {
+async fn publish_instances(shared: Arc<Shared>, entries: Vec<Value>, lag_ms: u64) {
     sleep(Duration::from_millis(lag_ms)).await;
-    write_instances(&mut shared.store(), &entries);
-    shared.raise();
+    replace_instance_list(&mut shared.store(), &entries);
+    shared.notify_change();
 }
 
-fn write_instances(store: &mut Store, entries: &[Value]) {
-    let shown = store.range(&RangeRequest {
+fn replace_instance_list(store: &mut Store, entries: &[Value]) {
+    let current = store.range(&RangeRequest {
         key: Blob(INSTANCE_LIST_PREFIX.into()),
         range_end: Blob(INSTANCE_LIST_END.into()),
         ..RangeRequest::default()
     });
-    let wanted: Vec<_> = entries.iter().map(instance_entry).collect();
-    for kv in &shown.kvs {
-        if wanted.iter().all(|(key, _)| *key != kv.key) {
+    let desired: Vec<_> = entries.iter().map(instance_entry).collect();
+    for kv in &current.kvs {
+        if desired.iter().all(|(key, _)| *key != kv.key) {
             store.delete_range(&DeleteRangeRequest {
                 key: kv.key.clone(),
                 ..DeleteRangeRequest::default()
             });
         }
     }
-    for (key, value) in wanted {
-        if shown
+    for (key, value) in desired {
+        if current
             .kvs
             .iter()
             .any(|kv| kv.key == key && kv.value == value)
@@ -167,10 +166,10 @@
     (Blob(key.into()), Blob(entry.to_string().into()))
 }
 
-/// A running stand-in, which stops when dropped.
+/// A running fake platform. Dropping it stops it and closes its connections.
 #[derive(Debug)]
 pub struct PlatformHandle {
-    /// Address served.
+    /// Address that the service listens on.
     pub address: SocketAddr,
     shared: Arc<Shared>,
     server: Server,
@@ -178,32 +177,32 @@
 }
 
 impl PlatformHandle {
-    /// Changes the faults in force.
-    pub fn update_faults(&self, order: &FaultUpdate) {
-        self.shared.update_faults(order);
+    /// Changes the injected faults.
+    pub fn update_faults(&self, update: &FaultUpdate) {
+        self.shared.update_faults(update);
     }
 
-    /// Calls counted so far.
+    /// Current counters.
     pub fn counters(&self) -> Counters {
         *self.shared.counters()
     }
 
-    /// Ends a lease at once; false where there is none.
+    /// Expires a lease at once; false if it does not exist.
     pub fn expire_lease(&self, id: i64) -> bool {
         self.shared.expire_lease(id)
     }
 
-    /// Sets the whole instance list, shown after the lag.
+    /// Replaces the instance list; readers see the change after the configured lag.
     pub fn set_instances(&self, entries: Vec<Value>) {
         self.shared.set_instances(entries);
     }
 
-    /// Waits for as long as the stand-in runs.
+    /// Waits until the service stops.
     pub async fn wait(&mut self) {
         self.server.wait().await;
     }
 
-    /// Stops, closing every connection.
+    /// Stops the service and closes its connections.
     pub fn stop(self) {}
 }
 
@@ -213,7 +212,7 @@
     }
 }
 
-/// Starts a stand-in on `address`; port 0 takes a free one.
+/// Starts a fake platform on `address`; port 0 chooses a free port.
 pub async fn start(address: SocketAddr, options: PlatformOptions) -> io::Result<PlatformHandle> {
     let listener = TcpListener::bind(address).await?;
     let shared = Arc::new(Shared {
@@ -223,11 +222,11 @@
         faults: Mutex::new(options.faults),
         counters: Mutex::default(),
         sync: tokio::sync::Mutex::new(()),
-        changed: signal::Sender::new(0),
+        changed: watch_channel::Sender::new(0),
     });
-    let state = Arc::clone(&shared);
+    let handler_shared = Arc::clone(&shared);
     let server = Server::start(listener, move |request| {
-        service::handle(Arc::clone(&state), request)
+        service::handle(Arc::clone(&handler_shared), request)
     })?;
     Ok(PlatformHandle {
         address: server.address(),
@@ -238,12 +237,12 @@
 }
 
 async fn expire_leases(shared: Arc<Shared>) {
-    let mut ticks = interval(Duration::from_millis(EXPIRY_TICK_MS));
+    let mut ticks = interval(Duration::from_millis(EXPIRY_CHECK_MS));
     loop {
         ticks.tick().await;
-        let expired = shared.store().expire(Instant::now());
+        let expired = shared.store().expire_leases(Instant::now());
         if expired {
-            shared.raise();
+            shared.notify_change();
         }
     }
 }
--- a/crates/fakes/src/platform/defaults.rs
+++ b/crates/fakes/src/platform/defaults.rs
@@ -1,15 +1,18 @@
-//! The mapping's habit of leaving out fields that have their default value.
+//! Omission of fields with default values, as in etcd's JSON mapping.
 
 use serde::Serialize;
 use serde_json::Value;
 
-/// Kind of an event that is the default of its enumeration.
-const DEFAULT_EVENT: &str = "PUT";
+/// Default value of an event's type.
+const DEFAULT_EVENT_TYPE: &str = "PUT";
 
-/// A message as JSON, without fields of default value where `omit` is set.
-pub(super) fn to_value<T: Serialize>(message: &T, omit: bool) -> serde_json::Result<Value> {
+/// Converts a message to JSON, without fields with default values if `omit_defaults` is set.
+pub(super) fn to_value<T: Serialize>(
+    message: &T,
+    omit_defaults: bool,
+) -> serde_json::Result<Value> {
     let value = serde_json::to_value(message)?;
-    match omit {
+    match omit_defaults {
         true => Ok(without_defaults(value)),
         false => Ok(value),
     }
@@ -37,11 +40,11 @@
     }
 }
 
-/// Text holds integers, bytes and the names of enumerations. Base64 has no
-/// text "0", so an integer's zero cannot be taken for bytes.
+/// Strings hold 64-bit integers, base64 and enum values. "0" is not valid base64, so it is always an
+/// integer.
 fn is_default_text(name: &str, text: &str) -> bool {
     match name {
-        "type" => text == DEFAULT_EVENT,
+        "type" => text == DEFAULT_EVENT_TYPE,
         _ => text.is_empty() || text == "0",
     }
 }
--- a/crates/fakes/src/platform/faults.rs
+++ b/crates/fakes/src/platform/faults.rs
@@ -1,41 +1,41 @@
-//! Faults on order, and counters of calls.
+//! Injected faults and counters of calls of the fake platform.
 
 use derive_more::Display;
 use serde::{Deserialize, Serialize};
 
-/// Header by which an instance names itself to the platform.
+/// Request header in which an instance names itself.
 pub const INSTANCE_HEADER: &str = "trefoil-instance";
 
-/// Faults in force.
+/// Current faults.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Faults {
-    /// Every call and watch has its connection closed.
+    /// The connections of all calls and watches are closed.
     pub down: bool,
     /// Delay of every call, in milliseconds.
     pub slow_ms: u64,
-    /// Answers to writes still to be dropped after they took effect.
+    /// Number of writes to come whose response is dropped after they took effect.
     pub drop_answers: u64,
-    /// Time until a change of the instance list can be read, in milliseconds.
+    /// Delay of changes of the instance list, in milliseconds.
     pub instance_list_lag_ms: u64,
-    /// Instances that are cut off from the platform.
+    /// Instances whose calls are refused.
     pub block_instances: Vec<String>,
 }
 
 impl Faults {
-    /// Whether a call of `instance` is refused.
+    /// Whether a call from `instance` is refused.
     pub fn refuses(&self, instance: Option<&str>) -> bool {
-        let blocked = |name| self.block_instances.iter().any(|other| other == name);
-        self.down || instance.is_some_and(blocked)
+        let is_blocked = |name| self.block_instances.iter().any(|other| other == name);
+        self.down || instance.is_some_and(is_blocked)
     }
 }
 
-/// An order that changes the faults; fields left out stay as they are.
+/// A partial update of the faults; `None` leaves a field unchanged.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct FaultUpdate {
     /// See [`Faults::down`].
     pub down: Option<bool>,
-    /// Down at once, and up again after so many milliseconds.
+    /// Sets [`Faults::down`] for a time, in milliseconds.
     pub down_for_ms: Option<u64>,
     /// See [`Faults::slow_ms`].
     pub slow_ms: Option<u64>,
@@ -48,7 +48,7 @@
 }
 
 impl FaultUpdate {
-    /// Changes `faults` as ordered.
+    /// Applies the update to `faults`.
     pub fn apply(&self, faults: &mut Faults) {
         let down = self.down_for_ms.map(|_| true).or(self.down);
         set(&mut faults.down, &down);
@@ -59,65 +59,52 @@
     }
 }
 
-fn set<T: Clone>(field: &mut T, order: &Option<T>) {
-    if let Some(value) = order {
+fn set<T: Clone>(field: &mut T, update: &Option<T>) {
+    if let Some(value) = update {
         *field = value.clone();
     }
 }
 
-/// Kinds of calls.
+/// Calls of the key-value service.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq)]
-pub enum Call {
-    /// Reads.
+pub(crate) enum Call {
     Range,
-    /// Writes one key.
     Put,
-    /// Deletes.
     DeleteRange,
-    /// Compares and swaps.
     Txn,
-    /// Grants a lease.
     LeaseGrant,
-    /// Renews a lease.
     LeaseKeepalive,
-    /// Ends a lease.
     LeaseRevoke,
-    /// Watches; counts as a call for as long as it waits.
     Watch,
 }
 
-/// Calls counted by kind.
+/// Counters of calls.
+#[expect(missing_docs, reason = "most fields are named after etcd's calls")]
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Counters {
-    /// Reads.
     pub range: u64,
-    /// Writes of one key.
     pub put: u64,
-    /// Deletions.
     pub delete_range: u64,
-    /// Transactions.
     pub txn: u64,
-    /// Leases granted.
     pub lease_grant: u64,
-    /// Leases renewed.
     pub lease_keepalive: u64,
-    /// Leases revoked.
     pub lease_revoke: u64,
     /// Watches started.
     pub watch: u64,
-    /// Watches waiting now.
+    /// Watches that are open now.
     pub watches_waiting: u64,
-    /// All of the calls above, watches among them.
+    /// Sum of the calls above; started watches count as one call.
     pub calls: u64,
-    /// Calls refused while down or cut off, counted apart from those above.
+    /// Calls refused by [`Faults::down`] or [`Faults::block_instances`]; not in `calls` if refused
+    /// on arrival.
     pub refused: u64,
-    /// Answers dropped after the write took effect.
+    /// Responses dropped after the write took effect.
     pub dropped_answers: u64,
 }
 
 impl Counters {
     /// Counts a call.
-    pub fn count(&mut self, call: Call) {
+    pub(crate) fn count(&mut self, call: Call) {
         self.calls += 1;
         let counter = match call {
             Call::Range => &mut self.range,
--- a/crates/fakes/src/platform/messages.rs
+++ b/crates/fakes/src/platform/messages.rs
@@ -1,9 +1,9 @@
-//! Messages of etcd v3's JSON mapping: bytes in base64, 64-bit integers as text.
+//! Messages of etcd v3's JSON mapping: bytes in base64, 64-bit integers as strings.
 
 use base64::{Engine, prelude::BASE64_STANDARD};
 use serde::{Deserialize, Deserializer, Serialize, Serializer, de::Error};
 
-/// A 64-bit integer, written as text and read from text or a number.
+/// A 64-bit integer, written as a string and read from a string or a number.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Int64(pub i64);
 
@@ -17,13 +17,13 @@
     fn deserialize<D: Deserializer<'de>>(deserializer: D) -> Result<Self, D::Error> {
         #[derive(Deserialize)]
         #[serde(untagged)]
-        enum Form {
+        enum Repr {
             Text(String),
             Number(i64),
         }
-        match Form::deserialize(deserializer)? {
-            Form::Text(text) => text.parse().map(Self).map_err(D::Error::custom),
-            Form::Number(number) => Ok(Self(number)),
+        match Repr::deserialize(deserializer)? {
+            Repr::Text(text) => text.parse().map(Self).map_err(D::Error::custom),
+            Repr::Number(number) => Ok(Self(number)),
         }
     }
 }
@@ -48,14 +48,14 @@
     }
 }
 
-/// Stands in every answer.
+/// Header of every response.
 #[derive(Clone, Copy, Debug, Default, Serialize)]
 pub struct Header {
-    /// Identity of the service.
+    /// ID of the cluster.
     pub cluster_id: Int64,
-    /// Identity of the answering member.
+    /// ID of the responding member.
     pub member_id: Int64,
-    /// Revision of the store when the answer was made.
+    /// Revision of the store at the time of the response.
     pub revision: Int64,
 }
 
@@ -66,13 +66,13 @@
     pub key: Blob,
     /// Revision of its creation.
     pub create_revision: Int64,
-    /// Revision of its newest change.
+    /// Revision of its latest change.
     pub mod_revision: Int64,
-    /// Changes since its creation, from 1.
+    /// Number of changes since its creation, which counts as the first.
     pub version: Int64,
     /// The value.
     pub value: Blob,
-    /// Lease it is attached to; 0 for none.
+    /// ID of the attached lease; 0 for none.
     pub lease: Int64,
 }
 
@@ -82,26 +82,26 @@
 pub struct RangeRequest {
     /// First key.
     pub key: Blob,
-    /// First key beyond the range; empty for one key, one zero byte for no end.
+    /// End of the range, exclusive; empty for a single key, one zero byte for no end.
     pub range_end: Blob,
-    /// Most keys answered; 0 for all.
+    /// Maximum number of keys returned; 0 for no limit.
     pub limit: Int64,
-    /// Answer keys without values.
+    /// Returns keys without values.
     pub keys_only: bool,
-    /// Answer the count only.
+    /// Returns the count only.
     pub count_only: bool,
 }
 
-/// Answer to [`RangeRequest`].
+/// Response to [`RangeRequest`].
 #[derive(Clone, Debug, Default, Serialize)]
 pub struct RangeResponse {
-    /// Stands in every answer.
+    /// Response header.
     pub header: Header,
     /// The keys, in order.
     pub kvs: Vec<KeyValue>,
-    /// Whether `limit` cut keys off.
+    /// Whether `limit` left out keys.
     pub more: bool,
-    /// Keys in the range.
+    /// Number of keys in the range, regardless of `limit`.
     pub count: Int64,
 }
 
@@ -113,14 +113,14 @@
     pub key: Blob,
     /// The value.
     pub value: Blob,
-    /// Lease to attach it to; 0 for none.
+    /// ID of the lease to attach; 0 for none.
     pub lease: Int64,
 }
 
-/// Answer to [`PutRequest`].
+/// Response to [`PutRequest`].
 #[derive(Clone, Debug, Default, Serialize)]
 pub struct PutResponse {
-    /// Stands in every answer.
+    /// Response header.
     pub header: Header,
 }
 
@@ -134,44 +134,44 @@
     pub range_end: Blob,
 }
 
-/// Answer to [`DeleteRangeRequest`].
+/// Response to [`DeleteRangeRequest`].
 #[derive(Clone, Debug, Default, Serialize)]
 pub struct DeleteRangeResponse {
-    /// Stands in every answer.
+    /// Response header.
     pub header: Header,
-    /// Keys deleted.
+    /// Number of keys deleted.
     pub deleted: Int64,
 }
 
-/// How a comparison is made.
+/// Relation between the stored and the given value.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "SCREAMING_SNAKE_CASE")]
 pub enum CompareResult {
-    /// The stored value equals the given one.
+    /// The stored value is equal.
     #[default]
     Equal,
     /// The stored value is greater.
     Greater,
     /// The stored value is less.
     Less,
-    /// The stored value differs.
+    /// The stored value is not equal.
     NotEqual,
 }
 
-/// What is compared.
+/// Property of a key that is compared.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "SCREAMING_SNAKE_CASE")]
 pub enum CompareTarget {
-    /// Changes since creation; 0 for a key that does not exist.
+    /// [`KeyValue::version`]; 0 for a key that does not exist.
     #[default]
     Version,
-    /// Revision of creation.
+    /// [`KeyValue::create_revision`]; 0 for a key that does not exist.
     Create,
-    /// Revision of the newest change.
+    /// [`KeyValue::mod_revision`]; 0 for a key that does not exist.
     Mod,
-    /// The value.
+    /// [`KeyValue::value`]; no comparison holds for a key that does not exist.
     Value,
-    /// The lease.
+    /// [`KeyValue::lease`]; 0 for a key that does not exist.
     Lease,
 }
 
@@ -179,9 +179,9 @@
 #[derive(Clone, Debug, Default, Deserialize)]
 #[serde(default)]
 pub struct Compare {
-    /// How.
+    /// Relation that must hold.
     pub result: CompareResult,
-    /// What.
+    /// Property that is compared.
     pub target: CompareTarget,
     /// The key compared.
     pub key: Blob,
@@ -200,51 +200,45 @@
 /// One operation of a transaction.
 #[derive(Clone, Debug, Deserialize)]
 pub enum RequestOp {
-    /// Reads.
     #[serde(rename = "request_range", alias = "requestRange")]
     Range(RangeRequest),
-    /// Writes.
     #[serde(rename = "request_put", alias = "requestPut")]
     Put(PutRequest),
-    /// Deletes.
     #[serde(rename = "request_delete_range", alias = "requestDeleteRange")]
     DeleteRange(DeleteRangeRequest),
 }
 
-/// A transaction: compare, then one of two lists of operations.
+/// A transaction, which executes one of two lists of operations.
 #[derive(Clone, Debug, Default, Deserialize)]
 #[serde(default)]
 pub struct TxnRequest {
-    /// Conditions, all of which must hold.
+    /// Conditions.
     pub compare: Vec<Compare>,
-    /// Done when they hold.
+    /// Operations executed if all conditions hold.
     pub success: Vec<RequestOp>,
-    /// Done when they do not.
+    /// Operations executed otherwise.
     pub failure: Vec<RequestOp>,
 }
 
-/// Answer to one operation.
+/// Response to one operation.
 #[derive(Clone, Debug, Serialize)]
 pub enum ResponseOp {
-    /// Read.
     #[serde(rename = "response_range")]
     Range(RangeResponse),
-    /// Written.
     #[serde(rename = "response_put")]
     Put(PutResponse),
-    /// Deleted.
     #[serde(rename = "response_delete_range")]
     DeleteRange(DeleteRangeResponse),
 }
 
-/// Answer to [`TxnRequest`].
+/// Response to [`TxnRequest`].
 #[derive(Clone, Debug, Default, Serialize)]
 pub struct TxnResponse {
-    /// Stands in every answer.
+    /// Response header.
     pub header: Header,
-    /// Whether the conditions held.
+    /// Whether all conditions held.
     pub succeeded: bool,
-    /// One answer an operation, in order.
+    /// Responses to the executed operations, in order.
     pub responses: Vec<ResponseOp>,
 }
 
@@ -252,23 +246,23 @@
 #[derive(Clone, Copy, Debug, Default, Deserialize)]
 #[serde(default)]
 pub struct LeaseRequest {
-    /// The lease; 0 in a grant lets the service choose.
+    /// ID of the lease; 0 in a grant lets the service choose.
     #[serde(rename = "ID", alias = "id")]
     pub id: Int64,
-    /// Time to live, in seconds; for a grant.
+    /// Time to live in seconds; used by a grant only.
     #[serde(rename = "TTL", alias = "ttl")]
     pub ttl: Int64,
 }
 
-/// Answer to [`LeaseRequest`].
+/// Response to [`LeaseRequest`].
 #[derive(Clone, Copy, Debug, Default, Serialize)]
 pub struct LeaseResponse {
-    /// Stands in every answer.
+    /// Response header.
     pub header: Header,
-    /// The lease.
+    /// ID of the lease.
     #[serde(rename = "ID")]
     pub id: Int64,
-    /// Time to live, in seconds; 0 for a lease that has lapsed.
+    /// Time to live in seconds; 0 if the lease does not exist.
     #[serde(rename = "TTL")]
     pub ttl: Int64,
 }
@@ -277,11 +271,11 @@
 #[derive(Clone, Debug, Default, Deserialize)]
 #[serde(default)]
 pub struct WatchRequest {
-    /// The range and where to start.
+    /// Range and start of the watch.
     pub create_request: WatchCreate,
 }
 
-/// What a watch covers.
+/// Range and start of a watch.
 #[derive(Clone, Debug, Default, Deserialize)]
 #[serde(default)]
 pub struct WatchCreate {
@@ -289,7 +283,7 @@
     pub key: Blob,
     /// As in [`RangeRequest`].
     pub range_end: Blob,
-    /// First revision of interest; 0 for changes from now on.
+    /// First revision to report; 0 for changes from now on.
     pub start_revision: Int64,
 }
 
@@ -309,24 +303,24 @@
     /// Kind of the change.
     #[serde(rename = "type")]
     pub kind: EventKind,
-    /// The key afterwards; only key and revision for a deletion.
+    /// The key after the change; for a deletion, only key and revision.
     pub kv: KeyValue,
 }
 
-/// One message of a watch.
+/// A message of a watch.
 #[derive(Clone, Debug, Default, Serialize)]
 pub struct WatchResponse {
-    /// Stands in every answer.
+    /// Response header.
     pub header: Header,
-    /// Identity of the watch.
+    /// ID of the watch.
     pub watch_id: Int64,
-    /// Set in the first message.
+    /// Set in the first message only.
     #[serde(skip_serializing_if = "std::ops::Not::not")]
     pub created: bool,
-    /// Set in the last message.
+    /// Set if the watch ends with this message.
     #[serde(skip_serializing_if = "std::ops::Not::not")]
     pub canceled: bool,
-    /// Oldest revision kept, where the start lies before it.
+    /// Oldest revision available, if the requested start has been compacted.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub compact_revision: Option<Int64>,
     /// Changes, in order.
@@ -334,7 +328,7 @@
     pub events: Vec<Event>,
 }
 
-/// Wraps the messages of a stream.
+/// Wrapper of each message of a stream.
 #[derive(Clone, Debug, Serialize)]
 pub struct StreamItem<T> {
     /// The message.
--- a/crates/fakes/src/platform/service.rs
+++ b/crates/fakes/src/platform/service.rs
@@ -1,4 +1,4 @@
-//! HTTP calls of the stand-in, matched to the store.
+//! HTTP interface of the fake platform.
 
 use std::{
     sync::Arc,
@@ -17,7 +17,7 @@
     messages::{Int64, LeaseRequest, PutRequest, RequestOp, StreamItem, TxnRequest},
     watch,
 };
-use crate::http::{self, Answer, CloseConnection};
+use crate::http::{self, CloseConnection, HandlerResult};
 
 const LEASE_NOT_FOUND: &str = "etcdserver: requested lease not found";
 const LEASE_EXISTS: &str = "etcdserver: lease already exists";
@@ -27,14 +27,14 @@
     id: Int64,
 }
 
-/// Answers one request.
-pub(super) async fn handle(shared: Arc<Shared>, request: Request<Incoming>) -> Answer {
+/// Handles one request.
+pub(super) async fn handle(shared: Arc<Shared>, request: Request<Incoming>) -> HandlerResult {
     let path = request.uri().path().to_owned();
-    if let Some(order) = path.strip_prefix("/fake/") {
+    if let Some(endpoint) = path.strip_prefix("/fake/") {
         let body = http::read_body(request).await?;
-        return control(&shared, order, &body);
+        return handle_control(&shared, endpoint, &body);
     }
-    let Some(call) = call_of(&path) else {
+    let Some(call) = parse_call(&path) else {
         return http::error(StatusCode::NOT_FOUND, "no such call");
     };
     let instance = request
@@ -43,22 +43,22 @@
         .and_then(|value| value.to_str().ok())
         .map(str::to_owned);
     let body = http::read_body(request).await?;
-    // A task of its own: a call goes on even where its caller has gone away.
-    let served = tokio::spawn(admit_and_serve(shared, call, instance, body));
+    // Spawned so that a call completes even if its client disconnects.
+    let served = tokio::spawn(admit_and_execute(shared, call, instance, body));
     served.await.map_err(|_| CloseConnection)?
 }
 
-async fn admit_and_serve(
+async fn admit_and_execute(
     shared: Arc<Shared>,
     call: Call,
     instance: Option<String>,
     body: Bytes,
-) -> Answer {
+) -> HandlerResult {
     admit(&shared, call, instance.as_deref()).await?;
-    serve(&shared, call, instance, &body).await
+    execute(&shared, call, instance, &body).await
 }
 
-fn call_of(path: &str) -> Option<Call> {
+fn parse_call(path: &str) -> Option<Call> {
     let call = match path {
         "/v3/kv/range" => Call::Range,
         "/v3/kv/put" => Call::Put,
@@ -74,36 +74,41 @@
 }
 
 async fn admit(shared: &Shared, call: Call, instance: Option<&str>) -> Result<(), CloseConnection> {
-    refuse(shared, instance)?;
+    check_refused(shared, instance)?;
     shared.counters().count(call);
     let slow_ms = shared.faults().slow_ms;
     if slow_ms > 0 {
         sleep(Duration::from_millis(slow_ms)).await;
-        refuse(shared, instance)?;
+        check_refused(shared, instance)?;
     }
     Ok(())
 }
 
-fn refuse(shared: &Shared, instance: Option<&str>) -> Result<(), CloseConnection> {
-    let refused = shared.faults().refuses(instance);
-    if refused {
+fn check_refused(shared: &Shared, instance: Option<&str>) -> Result<(), CloseConnection> {
+    let is_refused = shared.faults().refuses(instance);
+    if is_refused {
         shared.counters().refused += 1;
         return Err(CloseConnection);
     }
     Ok(())
 }
 
-async fn serve(shared: &Arc<Shared>, call: Call, instance: Option<String>, body: &Bytes) -> Answer {
+async fn execute(
+    shared: &Arc<Shared>,
+    call: Call,
+    instance: Option<String>,
+    body: &Bytes,
+) -> HandlerResult {
     match call {
-        Call::Range => parsed(body, |request| {
-            answer(shared, &shared.store().range(&request))
+        Call::Range => with_parsed(body, |request| {
+            respond(shared, &shared.store().range(&request))
         }),
-        Call::LeaseKeepalive => parsed(body, |request| keep_alive(shared, request)),
-        Call::Watch => parsed(body, |request| watch::start(shared, request, instance)),
+        Call::LeaseKeepalive => with_parsed(body, |request| keep_alive(shared, request)),
+        Call::Watch => with_parsed(body, |request| watch::start(shared, request, instance)),
         Call::Put => write(shared, body, put).await,
         Call::DeleteRange => {
             write(shared, body, |shared, request| {
-                answer(shared, &shared.store().delete_range(&request))
+                respond(shared, &shared.store().delete_range(&request))
             })
             .await
         }
@@ -113,59 +118,64 @@
     }
 }
 
-fn answer<T: Serialize>(shared: &Shared, message: &T) -> Answer {
+/// A response with `message` as its JSON body.
+fn respond<T: Serialize>(shared: &Shared, message: &T) -> HandlerResult {
     let value = defaults::to_value(message, shared.omit_defaults);
     http::ok_json(&value.map_err(|_| CloseConnection)?)
 }
 
-fn parsed<T: DeserializeOwned>(body: &Bytes, run: impl FnOnce(T) -> Answer) -> Answer {
-    match http::from_json(body) {
+fn with_parsed<T: DeserializeOwned>(
+    body: &Bytes,
+    run: impl FnOnce(T) -> HandlerResult,
+) -> HandlerResult {
+    match http::parse_json(body) {
         Ok(request) => run(request),
         Err(error) => http::error(StatusCode::BAD_REQUEST, &error.to_string()),
     }
 }
 
-/// Syncs a write, lets it take effect, and drops its answer if so ordered.
+/// Syncs and applies a write; drops its response if a fault says so.
 async fn write<T: DeserializeOwned>(
     shared: &Arc<Shared>,
     body: &Bytes,
-    run: fn(&Shared, T) -> Answer,
-) -> Answer {
-    let request = match http::from_json(body) {
+    run: fn(&Shared, T) -> HandlerResult,
+) -> HandlerResult {
+    let request = match http::parse_json(body) {
         Ok(request) => request,
         Err(error) => return http::error(StatusCode::BAD_REQUEST, &error.to_string()),
     };
-    let _synced = shared.sync.lock().await;
+    let _sync_guard = shared.sync.lock().await;
     sleep(Duration::from_millis(shared.sync_ms)).await;
-    let answered = run(shared, request);
-    shared.raise();
-    match take_drop_answer(shared) {
+    let result = run(shared, request);
+    shared.notify_change();
+    match take_response_drop(shared) {
         true => Err(CloseConnection),
-        false => answered,
+        false => result,
     }
 }
 
-fn take_drop_answer(shared: &Shared) -> bool {
+/// Whether the response is to be dropped; uses up one of the drops that were set.
+fn take_response_drop(shared: &Shared) -> bool {
     let mut faults = shared.faults();
-    let dropped = faults.drop_answers > 0;
-    if dropped {
+    let is_dropped = faults.drop_answers > 0;
+    if is_dropped {
         faults.drop_answers -= 1;
         shared.counters().dropped_answers += 1;
     }
-    dropped
+    is_dropped
 }
 
-fn put(shared: &Shared, request: PutRequest) -> Answer {
+fn put(shared: &Shared, request: PutRequest) -> HandlerResult {
     let mut store = shared.store();
     match store.has_lease(request.lease) {
-        true => answer(shared, &store.put(&request)),
+        true => respond(shared, &store.put(&request)),
         false => http::error(StatusCode::NOT_FOUND, LEASE_NOT_FOUND),
     }
 }
 
-fn txn(shared: &Shared, request: TxnRequest) -> Answer {
+fn txn(shared: &Shared, request: TxnRequest) -> HandlerResult {
     let mut store = shared.store();
-    let lapsed = request
+    let names_expired_lease = request
         .success
         .iter()
         .chain(&request.failure)
@@ -173,30 +183,30 @@
             RequestOp::Put(put) => !store.has_lease(put.lease),
             RequestOp::Range(_) | RequestOp::DeleteRange(_) => false,
         });
-    match lapsed {
+    match names_expired_lease {
         true => http::error(StatusCode::NOT_FOUND, LEASE_NOT_FOUND),
-        false => answer(shared, &store.txn(&request)),
+        false => respond(shared, &store.txn(&request)),
     }
 }
 
-fn grant(shared: &Shared, request: LeaseRequest) -> Answer {
+fn grant(shared: &Shared, request: LeaseRequest) -> HandlerResult {
     let granted = shared
         .store()
         .grant(request.id, request.ttl, Instant::now());
     match granted {
-        Some(response) => answer(shared, &response),
+        Some(response) => respond(shared, &response),
         None => http::error(StatusCode::BAD_REQUEST, LEASE_EXISTS),
     }
 }
 
-fn revoke(shared: &Shared, request: LeaseRequest) -> Answer {
+fn revoke(shared: &Shared, request: LeaseRequest) -> HandlerResult {
     #[derive(Serialize)]
     struct RevokeResponse {
         header: super::messages::Header,
     }
     let mut store = shared.store();
     match store.revoke(request.id) {
-        true => answer(
+        true => respond(
             shared,
             &RevokeResponse {
                 header: store.header(),
@@ -206,28 +216,28 @@
     }
 }
 
-fn keep_alive(shared: &Shared, request: LeaseRequest) -> Answer {
+fn keep_alive(shared: &Shared, request: LeaseRequest) -> HandlerResult {
     let result = shared.store().keep_alive(request.id, Instant::now());
-    answer(shared, &StreamItem { result })
+    respond(shared, &StreamItem { result })
 }
 
-fn control(shared: &Arc<Shared>, order: &str, body: &Bytes) -> Answer {
-    match order {
+fn handle_control(shared: &Arc<Shared>, endpoint: &str, body: &Bytes) -> HandlerResult {
+    match endpoint {
         "counters" => http::ok_json(&*shared.counters()),
-        "faults" => parsed(body, |order: FaultUpdate| {
-            shared.update_faults(&order);
-            http::ok_json(&order)
+        "faults" => with_parsed(body, |update: FaultUpdate| {
+            shared.update_faults(&update);
+            http::ok_json(&update)
         }),
-        "expire_lease" => parsed(body, |order: ExpireLease| {
-            match shared.expire_lease(order.id.0) {
+        "expire_lease" => with_parsed(body, |request: ExpireLease| {
+            match shared.expire_lease(request.id.0) {
                 true => http::ok_json(&Value::Null),
                 false => http::error(StatusCode::NOT_FOUND, LEASE_NOT_FOUND),
             }
         }),
-        "instances" => parsed(body, |entries: Vec<Value>| {
+        "instances" => with_parsed(body, |entries: Vec<Value>| {
             shared.set_instances(entries);
             http::ok_json(&Value::Null)
         }),
-        _ => http::error(StatusCode::NOT_FOUND, "no such order"),
+        _ => http::error(StatusCode::NOT_FOUND, "no such control endpoint"),
     }
 }
--- a/crates/fakes/src/platform/store.rs
+++ b/crates/fakes/src/platform/store.rs
@@ -1,4 +1,4 @@
-//! The keys, their history and the leases, without any input or output.
+//! In-memory key-value store with leases and a history of changes.
 
 use std::{
     collections::{BTreeMap, BTreeSet, HashMap, VecDeque},
@@ -11,11 +11,11 @@
     RangeResponse, RequestOp, ResponseOp, TxnRequest, TxnResponse,
 };
 
-/// First lease number given out where a grant names none.
-const FIRST_LEASE: i64 = 7_000;
+/// Chosen lease IDs start after this one.
+const LEASE_IDS_START: i64 = 7_000;
 const SECOND_MS: u64 = 1_000;
 
-/// Keys `[key, end)`, in etcd's terms.
+/// A key or a range of keys `[key, end)`, encoded as in etcd.
 #[derive(Clone, Debug)]
 pub struct KeyRange {
     key: Vec<u8>,
@@ -23,7 +23,7 @@
 }
 
 impl KeyRange {
-    /// From the two fields of a request.
+    /// Creates a range from the fields `key` and `range_end` of a request.
     pub fn new(key: &Blob, end: &Blob) -> Self {
         Self {
             key: key.0.clone(),
@@ -31,7 +31,6 @@
         }
     }
 
-    /// Whether `key` lies in the range.
     pub fn contains(&self, key: &[u8]) -> bool {
         match self.end.as_slice() {
             [] => key == self.key,
@@ -55,27 +54,27 @@
     keys: BTreeMap<Vec<u8>, KeyValue>,
     history: VecDeque<Event>,
     history_max: usize,
-    /// Newest revision of which changes have been forgotten.
-    compacted: i64,
+    /// Latest revision whose changes have been discarded.
+    compacted_revision: i64,
     leases: HashMap<i64, Lease>,
-    next_lease: i64,
+    last_lease_id: i64,
 }
 
 impl Store {
-    /// An empty store that keeps `history_max` changes.
+    /// Creates an empty store that keeps the latest `history_max` changes.
     pub fn new(history_max: usize) -> Self {
         Self {
             revision: 1,
             keys: BTreeMap::new(),
             history: VecDeque::new(),
             history_max,
-            compacted: 0,
+            compacted_revision: 0,
             leases: HashMap::new(),
-            next_lease: FIRST_LEASE,
+            last_lease_id: LEASE_IDS_START,
         }
     }
 
-    /// The header of an answer made now.
+    /// Header of a response at the current revision.
     pub fn header(&self) -> Header {
         Header {
             cluster_id: Int64(1),
@@ -84,17 +83,17 @@
         }
     }
 
-    /// Newest revision.
+    /// Current revision.
     pub fn revision(&self) -> i64 {
         self.revision
     }
 
-    /// Newest revision of which changes have been forgotten.
-    pub fn compacted(&self) -> i64 {
-        self.compacted
+    /// Latest revision whose changes have been discarded; 0 if there is none.
+    pub fn compacted_revision(&self) -> i64 {
+        self.compacted_revision
     }
 
-    /// Changes in `range` at revision `from` or later.
+    /// Changes of keys in `range` at revision `from` or later.
     pub fn events_from(&self, range: &KeyRange, from: i64) -> Vec<Event> {
         self.history
             .iter()
@@ -104,17 +103,17 @@
             .collect()
     }
 
-    /// Reads keys.
+    /// Executes a read.
     pub fn range(&self, request: &RangeRequest) -> RangeResponse {
         let range = KeyRange::new(&request.key, &request.range_end);
-        let found = self.found(&range);
-        let count = found.len();
+        let matching = self.matching(&range);
+        let count = matching.len();
         let limit = match usize::try_from(request.limit.0) {
             Ok(0) | Err(_) => count,
             Ok(limit) => limit,
         };
-        let wanted = if request.count_only { 0 } else { limit };
-        let mut kvs: Vec<_> = found.into_iter().take(wanted).cloned().collect();
+        let returned = if request.count_only { 0 } else { limit };
+        let mut kvs: Vec<_> = matching.into_iter().take(returned).cloned().collect();
         if request.keys_only {
             kvs.iter_mut().for_each(|kv| kv.value = Blob::default());
         }
@@ -126,7 +125,7 @@
         }
     }
 
-    fn found(&self, range: &KeyRange) -> Vec<&KeyValue> {
+    fn matching(&self, range: &KeyRange) -> Vec<&KeyValue> {
         self.keys
             .range(range.key.clone()..)
             .take_while(|(key, _)| range.contains(key))
@@ -134,34 +133,37 @@
             .collect()
     }
 
-    /// Writes one key as a change of its own.
+    /// Writes a key at a new revision.
     pub fn put(&mut self, request: &PutRequest) -> PutResponse {
         self.revision += 1;
-        self.put_now(request)
+        self.apply_put(request)
     }
 
-    /// Deletes keys as a change of its own, if there are any.
+    /// Deletes keys; at a new revision, if any key exists.
     pub fn delete_range(&mut self, request: &DeleteRangeRequest) -> DeleteRangeResponse {
         let range = KeyRange::new(&request.key, &request.range_end);
-        if !self.found(&range).is_empty() {
+        if !self.matching(&range).is_empty() {
             self.revision += 1;
         }
-        self.delete_now(request)
+        self.apply_delete(request)
     }
 
-    /// Runs a transaction; all its changes share one revision.
+    /// Executes a transaction; all its changes have the same revision.
     pub fn txn(&mut self, request: &TxnRequest) -> TxnResponse {
-        let succeeded = request.compare.iter().all(|compare| self.holds(compare));
+        let succeeded = request
+            .compare
+            .iter()
+            .all(|compare| self.is_satisfied(compare));
         let operations = match succeeded {
             true => &request.success,
             false => &request.failure,
         };
-        if operations.iter().any(|operation| self.changes(operation)) {
+        if operations.iter().any(|operation| self.modifies(operation)) {
             self.revision += 1;
         }
         let responses = operations
             .iter()
-            .map(|operation| self.run(operation))
+            .map(|operation| self.execute(operation))
             .collect();
         TxnResponse {
             header: self.header(),
@@ -170,26 +172,26 @@
         }
     }
 
-    fn changes(&self, operation: &RequestOp) -> bool {
+    fn modifies(&self, operation: &RequestOp) -> bool {
         match operation {
             RequestOp::Range(_) => false,
             RequestOp::Put(_) => true,
             RequestOp::DeleteRange(request) => {
                 let range = KeyRange::new(&request.key, &request.range_end);
-                !self.found(&range).is_empty()
+                !self.matching(&range).is_empty()
             }
         }
     }
 
-    fn run(&mut self, operation: &RequestOp) -> ResponseOp {
+    fn execute(&mut self, operation: &RequestOp) -> ResponseOp {
         match operation {
             RequestOp::Range(request) => ResponseOp::Range(self.range(request)),
-            RequestOp::Put(request) => ResponseOp::Put(self.put_now(request)),
-            RequestOp::DeleteRange(request) => ResponseOp::DeleteRange(self.delete_now(request)),
+            RequestOp::Put(request) => ResponseOp::Put(self.apply_put(request)),
+            RequestOp::DeleteRange(request) => ResponseOp::DeleteRange(self.apply_delete(request)),
         }
     }
 
-    fn holds(&self, compare: &Compare) -> bool {
+    fn is_satisfied(&self, compare: &Compare) -> bool {
         let found = self.keys.get(&compare.key.0);
         let number = |pick: fn(&KeyValue) -> Int64| found.map(pick).unwrap_or_default();
         let ordering = match compare.target {
@@ -199,7 +201,6 @@
             CompareTarget::Lease => number(|kv| kv.lease).cmp(&compare.lease),
             CompareTarget::Value => match found {
                 Some(kv) => kv.value.cmp(&compare.value),
-                // No comparison of values holds for a key that does not exist.
                 None => return false,
             },
         };
@@ -211,34 +212,38 @@
         }
     }
 
-    fn put_now(&mut self, request: &PutRequest) -> PutResponse {
+    fn apply_put(&mut self, request: &PutRequest) -> PutResponse {
         let revision = Int64(self.revision);
-        let earlier = self.keys.get(&request.key.0);
+        let previous = self.keys.get(&request.key.0);
         let kv = KeyValue {
             key: request.key.clone(),
-            create_revision: earlier.map_or(revision, |kv| kv.create_revision),
+            create_revision: previous.map_or(revision, |kv| kv.create_revision),
             mod_revision: revision,
-            version: Int64(earlier.map_or(0, |kv| kv.version.0) + 1),
+            version: Int64(previous.map_or(0, |kv| kv.version.0) + 1),
             value: request.value.clone(),
             lease: request.lease,
         };
-        let earlier_lease = earlier.map(|kv| kv.lease.0);
-        if let Some(lease) = earlier_lease.and_then(|id| self.leases.get_mut(&id)) {
+        let previous_lease = previous.map(|kv| kv.lease.0);
+        if let Some(lease) = previous_lease.and_then(|id| self.leases.get_mut(&id)) {
             lease.keys.remove(&request.key.0);
         }
         if let Some(lease) = self.leases.get_mut(&request.lease.0) {
             lease.keys.insert(request.key.0.clone());
         }
         self.keys.insert(request.key.0.clone(), kv.clone());
-        self.remember(EventKind::Put, kv);
+        self.record_event(EventKind::Put, kv);
         PutResponse {
             header: self.header(),
         }
     }
 
-    fn delete_now(&mut self, request: &DeleteRangeRequest) -> DeleteRangeResponse {
+    fn apply_delete(&mut self, request: &DeleteRangeRequest) -> DeleteRangeResponse {
         let range = KeyRange::new(&request.key, &request.range_end);
-        let found: Vec<_> = self.found(&range).iter().map(|kv| kv.key.clone()).collect();
+        let found: Vec<_> = self
+            .matching(&range)
+            .iter()
+            .map(|kv| kv.key.clone())
+            .collect();
         found.iter().for_each(|key| self.delete_key(key));
         DeleteRangeResponse {
             header: self.header(),
@@ -247,10 +252,10 @@
     }
 
     fn delete_key(&mut self, key: &Blob) {
-        let Some(earlier) = self.keys.remove(&key.0) else {
+        let Some(previous) = self.keys.remove(&key.0) else {
             return;
         };
-        if let Some(lease) = self.leases.get_mut(&earlier.lease.0) {
+        if let Some(lease) = self.leases.get_mut(&previous.lease.0) {
             lease.keys.remove(&key.0);
         }
         let kv = KeyValue {
@@ -258,27 +263,27 @@
             mod_revision: Int64(self.revision),
             ..KeyValue::default()
         };
-        self.remember(EventKind::Delete, kv);
+        self.record_event(EventKind::Delete, kv);
     }
 
-    fn remember(&mut self, kind: EventKind, kv: KeyValue) {
+    fn record_event(&mut self, kind: EventKind, kv: KeyValue) {
         self.history.push_back(Event { kind, kv });
         while self.history.len() > self.history_max {
             if let Some(event) = self.history.pop_front() {
-                self.compacted = event.kv.mod_revision.0;
+                self.compacted_revision = event.kv.mod_revision.0;
             }
         }
     }
 
-    /// Whether a lease is alive; number 0 stands for none and always is.
+    /// Whether a lease exists; true for 0, which stands for no lease.
     pub fn has_lease(&self, id: Int64) -> bool {
         id.0 == 0 || self.leases.contains_key(&id.0)
     }
 
-    /// Grants a lease of `ttl` seconds; `None` where the number is taken.
+    /// Grants a lease of `ttl` seconds; `None` if the ID is in use.
     pub fn grant(&mut self, id: Int64, ttl: Int64, now: Instant) -> Option<LeaseResponse> {
         let id = match id.0 {
-            0 => self.choose_lease(),
+            0 => self.next_lease_id(),
             id => id,
         };
         if self.leases.contains_key(&id) {
@@ -293,9 +298,9 @@
         Some(self.lease_response(id, ttl.0))
     }
 
-    fn choose_lease(&mut self) -> i64 {
-        self.next_lease += 1;
-        self.next_lease
+    fn next_lease_id(&mut self) -> i64 {
+        self.last_lease_id += 1;
+        self.last_lease_id
     }
 
     fn lease_response(&self, id: i64, ttl_s: i64) -> LeaseResponse {
@@ -306,7 +311,7 @@
         }
     }
 
-    /// Renews a lease; the answer's time to live is 0 where it has lapsed.
+    /// Renews a lease; the response's time to live is 0 if the lease does not exist.
     pub fn keep_alive(&mut self, id: Int64, now: Instant) -> LeaseResponse {
         let ttl_s = match self.leases.get_mut(&id.0) {
             Some(lease) => {
@@ -318,7 +323,7 @@
         self.lease_response(id.0, ttl_s)
     }
 
-    /// Ends a lease and deletes its keys; false where there is none.
+    /// Revokes a lease and deletes its keys; false if the lease does not exist.
     pub fn revoke(&mut self, id: Int64) -> bool {
         let Some(lease) = self.leases.remove(&id.0) else {
             return false;
@@ -333,18 +338,18 @@
         true
     }
 
-    /// Ends the leases that have lapsed by `now`; true if there were any.
-    pub fn expire(&mut self, now: Instant) -> bool {
-        let lapsed: Vec<_> = self
+    /// Revokes the leases that have expired by `now`; true if there were any.
+    pub fn expire_leases(&mut self, now: Instant) -> bool {
+        let expired: Vec<_> = self
             .leases
             .iter()
             .filter(|(_, lease)| lease.expires <= now)
             .map(|(&id, _)| Int64(id))
             .collect();
-        lapsed.iter().for_each(|&id| {
+        expired.iter().for_each(|&id| {
             self.revoke(id);
         });
-        !lapsed.is_empty()
+        !expired.is_empty()
     }
 }
 
--- a/crates/fakes/src/platform/watch.rs
+++ b/crates/fakes/src/platform/watch.rs
@@ -1,4 +1,4 @@
-//! Watches: one task each, which follows the store's history by revision.
+//! Watches. Each one is a task that follows the store's history by revision.
 
 use std::sync::Arc;
 
@@ -10,42 +10,42 @@
     messages::{Int64, StreamItem, WatchRequest, WatchResponse},
     store::KeyRange,
 };
-use crate::http::{self, Answer, CloseConnection, Piece};
+use crate::http::{self, Chunk, CloseConnection, HandlerResult};
 
-const PIECES_MAX: usize = 64;
+const CHUNKS_MAX: usize = 64;
 
 struct Watch {
     shared: Arc<Shared>,
     range: KeyRange,
-    /// First revision not yet sent.
+    /// Next revision to send.
     next_revision: i64,
     instance: Option<String>,
-    pieces: mpsc::Sender<Piece>,
+    chunks: mpsc::Sender<Chunk>,
 }
 
-/// Counts a waiting watch until dropped.
-struct Waiting(Arc<Shared>);
+/// Counts an open watch until dropped.
+struct OpenWatchGuard(Arc<Shared>);
 
-impl Waiting {
+impl OpenWatchGuard {
     fn new(shared: &Arc<Shared>) -> Self {
         shared.counters().watches_waiting += 1;
         Self(Arc::clone(shared))
     }
 }
 
-impl Drop for Waiting {
+impl Drop for OpenWatchGuard {
     fn drop(&mut self) {
         self.0.counters().watches_waiting -= 1;
     }
 }
 
-/// Starts a watch and gives its stream.
+/// Starts a watch and returns its stream as the response.
 pub(super) fn start(
     shared: &Arc<Shared>,
     request: WatchRequest,
     instance: Option<String>,
-) -> Answer {
-    let (sender, receiver) = mpsc::channel(PIECES_MAX);
+) -> HandlerResult {
+    let (sender, receiver) = mpsc::channel(CHUNKS_MAX);
     let create = request.create_request;
     let next_revision = match create.start_revision.0 {
         0 => shared.store().revision() + 1,
@@ -56,7 +56,7 @@
         range: KeyRange::new(&create.key, &create.range_end),
         next_revision,
         instance,
-        pieces: sender,
+        chunks: sender,
     };
     tokio::spawn(watch.run());
     http::stream(receiver)
@@ -64,68 +64,68 @@
 
 impl Watch {
     async fn run(mut self) {
-        let _waiting = Waiting::new(&self.shared);
+        let _guard = OpenWatchGuard::new(&self.shared);
         let mut changed = self.shared.changed.subscribe();
-        // An error means that the other side is gone: the watch ends.
-        let _ = self.follow(&mut changed).await;
+        // An error means that the connection is closed.
+        let _ = self.stream_events(&mut changed).await;
     }
 
-    async fn follow(
+    async fn stream_events(
         &mut self,
         changed: &mut tokio::sync::watch::Receiver<u64>,
     ) -> Result<(), CloseConnection> {
         self.send(WatchResponse {
             created: true,
-            ..self.empty()
+            ..self.empty_response()
         })
         .await?;
         loop {
-            self.check_cut().await?;
-            self.send_news().await?;
+            self.check_refused().await?;
+            self.send_events().await?;
             tokio::select! {
-                raised = changed.changed() => raised.map_err(|_| CloseConnection)?,
-                () = self.pieces.closed() => return Err(CloseConnection),
+                notified = changed.changed() => notified.map_err(|_| CloseConnection)?,
+                () = self.chunks.closed() => return Err(CloseConnection),
             }
         }
     }
 
-    fn empty(&self) -> WatchResponse {
+    fn empty_response(&self) -> WatchResponse {
         WatchResponse {
             header: self.shared.store().header(),
             ..WatchResponse::default()
         }
     }
 
-    /// Closes the connection where the platform is down or cut off.
-    async fn check_cut(&self) -> Result<(), CloseConnection> {
-        let cut = self.shared.faults().refuses(self.instance.as_deref());
-        if cut {
-            let _ = self.pieces.send(Err(CloseConnection)).await;
+    /// Closes the connection if a fault refuses calls of its instance.
+    async fn check_refused(&self) -> Result<(), CloseConnection> {
+        let is_refused = self.shared.faults().refuses(self.instance.as_deref());
+        if is_refused {
+            let _ = self.chunks.send(Err(CloseConnection)).await;
             return Err(CloseConnection);
         }
         Ok(())
     }
 
-    async fn send_news(&mut self) -> Result<(), CloseConnection> {
-        let response = self.news();
-        let ended = response.canceled;
-        if ended || !response.events.is_empty() {
+    async fn send_events(&mut self) -> Result<(), CloseConnection> {
+        let response = self.next_response();
+        let is_canceled = response.canceled;
+        if is_canceled || !response.events.is_empty() {
             self.send(response).await?;
         }
-        match ended {
+        match is_canceled {
             true => Err(CloseConnection),
             false => Ok(()),
         }
     }
 
-    fn news(&mut self) -> WatchResponse {
+    fn next_response(&mut self) -> WatchResponse {
         let store = self.shared.store();
         let header = store.header();
-        if self.next_revision <= store.compacted() {
+        if self.next_revision <= store.compacted_revision() {
             return WatchResponse {
                 header,
                 canceled: true,
-                compact_revision: Some(Int64(store.compacted() + 1)),
+                compact_revision: Some(Int64(store.compacted_revision() + 1)),
                 ..WatchResponse::default()
             };
         }
@@ -142,7 +142,7 @@
         let item = StreamItem { result };
         let value = defaults::to_value(&item, self.shared.omit_defaults);
         let line = format!("{}\n", value.map_err(|_| CloseConnection)?);
-        self.pieces
+        self.chunks
             .send(Ok(Bytes::from(line)))
             .await
             .map_err(|_| CloseConnection)
--- a/crates/fakes/src/relay.rs
+++ b/crates/fakes/src/relay.rs
@@ -1,4 +1,4 @@
-//! A TCP relay that can be cut and restored, to part instances from each other.
+//! A TCP relay that injects link faults, such as network partitions.
 
 use std::{io, net::SocketAddr, sync::Arc};
 
@@ -14,91 +14,93 @@
     task::{JoinHandle, JoinSet},
 };
 
-use crate::http::{self, Answer, Server};
+use crate::http::{self, HandlerResult, Server};
 
 const BUFFER_BYTES: usize = 16 * 1024;
 
-/// Whether a link passes bytes.
+/// How a relay treats its connections.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum LinkState {
-    /// Bytes pass.
+    /// Bytes are forwarded.
     #[default]
     Forwarding,
-    /// Bytes are held back and connections stay open, as in a partition.
+    /// Bytes are held back and connections stay open, as in a network partition.
     Paused,
-    /// The same for bytes towards the relayed address only.
+    /// [`Paused`](Self::Paused) only towards the relay's target.
     PausedUpstream,
-    /// The same for bytes from the relayed address only.
+    /// [`Paused`](Self::Paused) only from the relay's target.
     PausedDownstream,
-    /// Connections are closed and new ones refused.
+    /// Connections are closed, and new ones are closed at once.
     Closed,
 }
 
-/// Which way bytes go.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Way {
-    Forth,
-    Back,
+enum Direction {
+    Upstream,
+    Downstream,
 }
 
 impl LinkState {
-    fn holds_back(self, way: Way) -> bool {
+    fn blocks(self, direction: Direction) -> bool {
         match self {
             Self::Paused => true,
-            Self::PausedUpstream => way == Way::Forth,
-            Self::PausedDownstream => way == Way::Back,
+            Self::PausedUpstream => direction == Direction::Upstream,
+            Self::PausedDownstream => direction == Direction::Downstream,
             Self::Forwarding | Self::Closed => false,
         }
     }
 }
 
-/// What every connection of a relay follows.
+/// State shared by all connections of a relay.
 #[derive(Clone, Copy, Debug, Default)]
-struct Orders {
-    state: LinkState,
-    /// Connections of an earlier generation are silent for good.
+struct RelayState {
+    link: LinkState,
+    /// Connections of an earlier generation are paused for good.
     generation: u64,
 }
 
-/// One connection's view of the relay's orders.
 #[derive(Clone)]
 struct Connection {
-    orders: watch::Receiver<Orders>,
+    state: watch::Receiver<RelayState>,
     generation: u64,
 }
 
 impl Connection {
-    fn new(orders: watch::Receiver<Orders>) -> Self {
-        let generation = orders.borrow().generation;
-        Self { orders, generation }
+    fn new(state: watch::Receiver<RelayState>) -> Self {
+        let generation = state.borrow().generation;
+        Self { state, generation }
     }
 
-    /// Waits until bytes may pass; an error closes the connection.
-    async fn wait_whole(&mut self, way: Way) -> io::Result<()> {
+    /// Waits until bytes may be forwarded.
+    ///
+    /// # Errors
+    ///
+    /// Returns an error if the connection is to be closed.
+    async fn wait_until_forwarding(&mut self, direction: Direction) -> io::Result<()> {
         let generation = self.generation;
-        let passes =
-            |orders: &Orders| generation == orders.generation && !orders.state.holds_back(way);
-        let orders = self.orders.wait_for(passes).await;
-        match orders.map_err(io::Error::other)?.state {
+        let is_forwarding =
+            |state: &RelayState| generation == state.generation && !state.link.blocks(direction);
+        let state = self.state.wait_for(is_forwarding).await;
+        match state.map_err(io::Error::other)?.link {
             LinkState::Closed => Err(io::ErrorKind::ConnectionReset.into()),
             _ => Ok(()),
         }
     }
 }
 
-/// An order over HTTP, `POST /fake/cut`.
+/// Body of `POST /fake/cut` at the control address.
 #[derive(Clone, Copy, Debug, Default, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
-pub struct CutOrder {
-    /// Whether the link is cut.
+pub struct CutRequest {
+    /// Whether the link is paused or closed.
     pub cut: bool,
-    /// Whether a cut closes the connections.
+    /// Closes the connections in place of pausing them.
     pub close: bool,
 }
 
-impl From<CutOrder> for LinkState {
-    fn from(order: CutOrder) -> Self {
-        match (order.cut, order.close) {
+impl From<CutRequest> for LinkState {
+    fn from(request: CutRequest) -> Self {
+        match (request.cut, request.close) {
             (false, _) => Self::Forwarding,
             (true, false) => Self::Paused,
             (true, true) => Self::Closed,
@@ -106,35 +108,35 @@
     }
 }
 
-/// A running relay, which stops when dropped.
+/// A running relay. Dropping it stops the relay and closes its connections.
 #[derive(Debug)]
 pub struct RelayHandle {
-    /// Address relayed from.
+    /// Address that the relay listens on.
     pub address: SocketAddr,
-    /// Address of orders, where there is one.
+    /// Address of the HTTP control endpoint, if it has one.
     pub control_address: Option<SocketAddr>,
-    orders: Arc<watch::Sender<Orders>>,
+    state: Arc<watch::Sender<RelayState>>,
     task: JoinHandle<()>,
     _control: Option<Server>,
 }
 
 impl RelayHandle {
     /// Changes the state of the link.
-    pub fn set_state(&self, state: LinkState) {
-        self.orders.send_modify(|orders| orders.state = state);
+    pub fn set_state(&self, link: LinkState) {
+        self.state.send_modify(|state| state.link = link);
     }
 
-    /// Silences for good the connections that are open now; new ones work.
+    /// Pauses the connections that are open now for good; new ones are forwarded.
     pub fn pause_open_connections(&self) {
-        self.orders.send_modify(|orders| orders.generation += 1);
+        self.state.send_modify(|state| state.generation += 1);
     }
 
-    /// Waits for as long as the relay runs.
+    /// Waits until the relay stops.
     pub async fn wait(&mut self) {
         let _ = (&mut self.task).await;
     }
 
-    /// Stops, closing every connection.
+    /// Stops the relay and closes its connections.
     pub fn stop(self) {}
 }
 
@@ -144,7 +146,7 @@
     }
 }
 
-/// Relays `listen` to `to`; orders come over HTTP on `control` where given.
+/// Starts a relay from `listen` to `to`, with an HTTP control endpoint if `control` is given.
 pub async fn start(
     listen: SocketAddr,
     to: SocketAddr,
@@ -152,49 +154,58 @@
 ) -> io::Result<RelayHandle> {
     let listener = TcpListener::bind(listen).await?;
     let address = listener.local_addr()?;
-    let orders = Arc::new(watch::Sender::new(Orders::default()));
+    let state = Arc::new(watch::Sender::new(RelayState::default()));
     let control = match control {
-        Some(control) => Some(serve_control(control, Arc::clone(&orders)).await?),
+        Some(control) => Some(serve_control(control, Arc::clone(&state)).await?),
         None => None,
     };
     Ok(RelayHandle {
         address,
         control_address: control.as_ref().map(Server::address),
-        task: tokio::spawn(accept_all(listener, to, orders.subscribe())),
-        orders,
+        task: tokio::spawn(accept_connections(listener, to, state.subscribe())),
+        state,
         _control: control,
     })
 }
 
 async fn serve_control(
     address: SocketAddr,
-    orders: Arc<watch::Sender<Orders>>,
+    state: Arc<watch::Sender<RelayState>>,
 ) -> io::Result<Server> {
     let listener = TcpListener::bind(address).await?;
-    Server::start(listener, move |request| order(Arc::clone(&orders), request))
+    Server::start(listener, move |request| {
+        handle_control(Arc::clone(&state), request)
+    })
 }
 
-async fn order(orders: Arc<watch::Sender<Orders>>, request: Request<Incoming>) -> Answer {
+async fn handle_control(
+    state: Arc<watch::Sender<RelayState>>,
+    request: Request<Incoming>,
+) -> HandlerResult {
     if request.uri().path() != "/fake/cut" {
-        return http::error(StatusCode::NOT_FOUND, "no such order");
+        return http::error(StatusCode::NOT_FOUND, "no such control endpoint");
     }
     let body = http::read_body(request).await?;
-    match http::from_json::<CutOrder>(&body) {
-        Ok(order) => {
-            orders.send_modify(|orders| orders.state = order.into());
-            http::ok_json(&order)
+    match http::parse_json::<CutRequest>(&body) {
+        Ok(cut) => {
+            state.send_modify(|state| state.link = cut.into());
+            http::ok_json(&cut)
         }
         Err(error) => http::error(StatusCode::BAD_REQUEST, &error.to_string()),
     }
 }
 
-async fn accept_all(listener: TcpListener, to: SocketAddr, orders: watch::Receiver<Orders>) {
+async fn accept_connections(
+    listener: TcpListener,
+    to: SocketAddr,
+    state: watch::Receiver<RelayState>,
+) {
     let mut connections = JoinSet::new();
     loop {
         tokio::select! {
             accepted = listener.accept() => {
                 if let Ok((stream, _)) = accepted {
-                    connections.spawn(relay(stream, to, Connection::new(orders.clone())));
+                    connections.spawn(relay_connection(stream, to, Connection::new(state.clone())));
                 }
             }
             Some(_) = connections.join_next() => {}
@@ -202,42 +213,46 @@
     }
 }
 
-async fn relay(near: TcpStream, to: SocketAddr, mut connection: Connection) {
-    if connection.wait_whole(Way::Forth).await.is_err() {
+async fn relay_connection(client: TcpStream, to: SocketAddr, mut connection: Connection) {
+    if connection
+        .wait_until_forwarding(Direction::Upstream)
+        .await
+        .is_err()
+    {
         return;
     }
-    let Ok(far) = TcpStream::connect(to).await else {
+    let Ok(server) = TcpStream::connect(to).await else {
         return;
     };
-    let _ = near.set_nodelay(true);
-    let _ = far.set_nodelay(true);
-    let (near_read, near_write) = near.into_split();
-    let (far_read, far_write) = far.into_split();
-    // Either way's end, by its peer or by an order, ends the connection.
+    let _ = client.set_nodelay(true);
+    let _ = server.set_nodelay(true);
+    let (client_read, client_write) = client.into_split();
+    let (server_read, server_write) = server.into_split();
+    // The end of either direction closes the whole connection.
     tokio::select! {
-        _ = pass(near_read, far_write, connection.clone(), Way::Forth) => {}
-        _ = pass(far_read, near_write, connection, Way::Back) => {}
+        _ = forward(client_read, server_write, connection.clone(), Direction::Upstream) => {}
+        _ = forward(server_read, client_write, connection, Direction::Downstream) => {}
     }
 }
 
-async fn pass(
+async fn forward(
     mut from: OwnedReadHalf,
     mut to: OwnedWriteHalf,
     mut connection: Connection,
-    way: Way,
+    direction: Direction,
 ) -> io::Result<()> {
     let mut buffer = vec![0; BUFFER_BYTES];
     loop {
-        connection.wait_whole(way).await?;
+        connection.wait_until_forwarding(direction).await?;
         let count = tokio::select! {
             count = from.read(&mut buffer) => count?,
-            _ = connection.orders.changed() => continue,
+            _ = connection.state.changed() => continue,
         };
         if count == 0 {
             return Ok(());
         }
-        // Bytes read before a cut are held back with the rest.
-        connection.wait_whole(way).await?;
+        // The link may have been paused while the bytes were read.
+        connection.wait_until_forwarding(direction).await?;
         to.write_all(&buffer[..count]).await?;
     }
 }
--- a/crates/fakes/src/worker.rs
+++ b/crates/fakes/src/worker.rs
@@ -1,8 +1,7 @@
-//! Stand-in for backend servers: one process serves many, on consecutive ports.
+//! Fake backend servers; one process serves several, on consecutive ports.
 //!
-//! A task's payload may hold `run_ms`, `result` and `fail`. The task holds a
-//! slot for its run time, whatever becomes of the connection. Every start is
-//! recorded, for the checker of histories.
+//! A task's payload may hold `run_ms`, `result` and `fail`. A task occupies its slot for its run
+//! time, even if its connection closes. Every start is recorded for the history checker.
 
 pub mod faults;
 pub mod record;
@@ -19,20 +18,20 @@
 use hyper::{Request, StatusCode, body::Incoming};
 use tokio::{net::TcpListener, sync::Semaphore};
 
-use crate::http::{self, Answer, Server};
+use crate::http::{self, HandlerResult, Server};
 use faults::{WorkerFaultUpdate, WorkerFaults};
 use record::{TaskStart, WorkerCounters};
 
 pub use run::TASK_HEADER;
 
-/// How the stand-ins behave.
+/// Options of the fake backend servers of a process.
 #[derive(Clone, Debug)]
 pub struct WorkerOptions {
-    /// Backend servers of this process.
+    /// Number of backend servers.
     pub count: usize,
-    /// Slots of each: tasks that run at once.
+    /// Slots of each, which is the number of tasks that it runs concurrently.
     pub slots: usize,
-    /// Faults of all of them from the start.
+    /// Initial faults of all of them.
     pub faults: WorkerFaults,
 }
 
@@ -59,8 +58,7 @@
     }
 }
 
-/// What the backend servers of a process share. Where both locks are taken,
-/// that of the starts comes first.
+/// State shared by the backend servers of a process. Lock order: `starts` before `counters`.
 #[derive(Debug)]
 struct Shared {
     slots: usize,
@@ -79,12 +77,12 @@
         lock(&self.counters)
     }
 
-    fn update_faults(&self, order: &WorkerFaultUpdate) {
+    fn update_faults(&self, update: &WorkerFaultUpdate) {
         self.servers
             .iter()
             .enumerate()
-            .filter(|(index, _)| order.worker.is_none_or(|worker| worker == *index))
-            .for_each(|(_, server)| order.apply(&mut lock(&server.faults)));
+            .filter(|(index, _)| update.worker.is_none_or(|worker| worker == *index))
+            .for_each(|(_, server)| update.apply(&mut lock(&server.faults)));
     }
 }
 
@@ -92,51 +90,50 @@
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-/// Running backend servers, which stop when dropped.
+/// Running backend servers. Dropping it stops them and closes their connections.
 #[derive(Debug)]
 pub struct WorkersHandle {
-    /// Addresses served, one a backend server.
+    /// Addresses of the backend servers, by index.
     pub addresses: Vec<SocketAddr>,
     shared: Arc<Shared>,
     servers: Vec<Server>,
 }
 
 impl WorkersHandle {
-    /// Changes the faults in force.
-    pub fn update_faults(&self, order: &WorkerFaultUpdate) {
-        self.shared.update_faults(order);
+    /// Changes the injected faults.
+    pub fn update_faults(&self, update: &WorkerFaultUpdate) {
+        self.shared.update_faults(update);
     }
 
-    /// Every start so far, in order.
+    /// All recorded starts, in order.
     pub fn starts(&self) -> Vec<TaskStart> {
         self.shared.starts().clone()
     }
 
-    /// Counters so far.
+    /// Current counters of all backend servers together.
     pub fn counters(&self) -> WorkerCounters {
         *self.shared.counters()
     }
 
-    /// Stops one backend server, closing its connections; it stays away.
+    /// Stops one backend server for good and closes its connections.
     pub fn kill(&mut self, worker: usize) {
         let address = self.addresses.get(worker).copied();
         self.servers
             .retain(|server| Some(server.address()) != address);
     }
 
-    /// Waits for as long as the backend servers run.
+    /// Waits until all backend servers stop.
     pub async fn wait(&mut self) {
         for server in &mut self.servers {
             server.wait().await;
         }
     }
 
-    /// Stops, closing every connection.
+    /// Stops the backend servers and closes their connections.
     pub fn stop(self) {}
 }
 
-/// Starts backend servers on `address` and the ports after it; port 0 takes
-/// free ones.
+/// Starts backend servers on `address` and the following ports; port 0 chooses free ports.
 pub async fn start(address: SocketAddr, options: WorkerOptions) -> io::Result<WorkersHandle> {
     let listeners = bind_all(address, options.count).await?;
     let addresses = listeners
@@ -192,29 +189,29 @@
     })
 }
 
-async fn handle(shared: Arc<Shared>, index: usize, request: Request<Incoming>) -> Answer {
-    if let Some(order) = request.uri().path().strip_prefix("/fake/") {
-        let order = order.to_owned();
+async fn handle(shared: Arc<Shared>, index: usize, request: Request<Incoming>) -> HandlerResult {
+    if let Some(endpoint) = request.uri().path().strip_prefix("/fake/") {
+        let endpoint = endpoint.to_owned();
         let body = http::read_body(request).await?;
-        return control(&shared, &order, &body);
+        return handle_control(&shared, &endpoint, &body);
     }
     let server = Arc::clone(&shared.servers[index]);
     let headers = request.headers().clone();
     let body = http::read_body(request).await?;
-    run::run(shared, server, headers, body).await
+    run::run_task(shared, server, headers, body).await
 }
 
-fn control(shared: &Shared, order: &str, body: &Bytes) -> Answer {
-    match order {
+fn handle_control(shared: &Shared, endpoint: &str, body: &Bytes) -> HandlerResult {
+    match endpoint {
         "counters" => http::ok_json(&*shared.counters()),
         "starts" => http::ok_json(&*shared.starts()),
-        "faults" => match http::from_json::<WorkerFaultUpdate>(body) {
-            Ok(order) => {
-                shared.update_faults(&order);
-                http::ok_json(&order)
+        "faults" => match http::parse_json::<WorkerFaultUpdate>(body) {
+            Ok(update) => {
+                shared.update_faults(&update);
+                http::ok_json(&update)
             }
             Err(error) => http::error(StatusCode::BAD_REQUEST, &error.to_string()),
         },
-        _ => http::error(StatusCode::NOT_FOUND, "no such order"),
+        _ => http::error(StatusCode::NOT_FOUND, "no such control endpoint"),
     }
 }
--- a/crates/fakes/src/worker/faults.rs
+++ b/crates/fakes/src/worker/faults.rs
@@ -1,24 +1,24 @@
-//! Faults of backend servers, on order.
+//! Injected faults of fake backend servers.
 
 use serde::{Deserialize, Serialize};
 
-/// Faults in force at one backend server.
+/// Current faults of one backend server.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct WorkerFaults {
     /// Refuse every task before it starts.
     pub refuse_all: bool,
-    /// Start every task and answer that it failed.
+    /// Start every task and report it as failed.
     pub fail_all: bool,
-    /// Run times are multiplied by this.
+    /// Factor on run times.
     pub slow_factor: f64,
-    /// Answers name another task.
+    /// Responses name another task.
     pub wrong_task: bool,
-    /// Connections are closed after the start, without an answer.
+    /// Connections are closed after the run, without a response.
     pub drop_after_start: bool,
-    /// Answers come so many milliseconds after the run has ended.
+    /// Delay of responses after the end of the run, in milliseconds.
     pub late_ms: u64,
-    /// Started tasks are never answered and hold their slots.
+    /// Started tasks never end and keep their slots.
     pub hang: bool,
 }
 
@@ -36,11 +36,11 @@
     }
 }
 
-/// An order that changes the faults; fields left out stay as they are.
+/// A partial update of the faults; `None` leaves a field unchanged.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct WorkerFaultUpdate {
-    /// Index of the backend server; all of them where it is left out.
+    /// Index of the backend server; `None` for all.
     pub worker: Option<usize>,
     /// See [`WorkerFaults::refuse_all`].
     pub refuse_all: Option<bool>,
@@ -59,7 +59,7 @@
 }
 
 impl WorkerFaultUpdate {
-    /// Changes `faults` as ordered.
+    /// Applies the update to `faults`.
     pub fn apply(&self, faults: &mut WorkerFaults) {
         set(&mut faults.refuse_all, self.refuse_all);
         set(&mut faults.fail_all, self.fail_all);
@@ -71,8 +71,8 @@
     }
 }
 
-fn set<T>(field: &mut T, order: Option<T>) {
-    if let Some(value) = order {
+fn set<T>(field: &mut T, update: Option<T>) {
+    if let Some(value) = update {
         *field = value;
     }
 }
--- a/crates/fakes/src/worker/record.rs
+++ b/crates/fakes/src/worker/record.rs
@@ -1,4 +1,4 @@
-//! What backend servers record: every start, and counters.
+//! Recorded task starts and counters of fake backend servers.
 
 use std::{
     hash::{DefaultHasher, Hasher},
@@ -7,54 +7,54 @@
 
 use serde::{Deserialize, Serialize};
 
-/// Most starts that one process records; beyond it they are only counted.
-pub const STARTS_MAX: usize = 4_000_000;
+/// Maximum number of starts that one process records; further ones are only counted.
+pub(crate) const STARTS_MAX: usize = 4_000_000;
 
 /// One start of a task.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TaskStart {
-    /// The `Trefoil-Task` header: `KEY/INDEX/ATTEMPT`; empty where none came.
+    /// The `Trefoil-Task` header, `KEY/INDEX/ATTEMPT`; empty if the request had none.
     pub task: String,
-    /// Name of the backend server.
+    /// Address of the backend server.
     pub worker: String,
-    /// Time of the start since the process's own, in microseconds.
+    /// Time since the fake was started, in microseconds.
     pub started_us: u64,
     /// Unix time of the start, in milliseconds.
     pub wall_ms: u64,
-    /// Hash of the request's body, in hexadecimal.
+    /// Hash of the request body, in hexadecimal.
     pub body_hash: String,
-    /// The `token` of the payload's `result`, where it has one.
+    /// The `token` in the payload's `result`, if any.
     pub token: Option<String>,
-    /// Whether the connection ended before the answer was given.
+    /// Whether the connection closed before the response.
     pub dropped: bool,
 }
 
-/// Counters of the backend servers of one process.
+/// Counters of all fake backend servers of a process.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct WorkerCounters {
-    /// Task requests that came.
+    /// Task requests received.
     pub requests: u64,
     /// Tasks started.
     pub starts: u64,
-    /// Tasks answered as done.
+    /// Tasks reported as done.
     pub answered: u64,
-    /// Tasks answered as failed.
+    /// Tasks reported as failed.
     pub failed: u64,
-    /// Requests refused before start because every slot was held.
+    /// Requests refused before the start because all slots were in use.
     pub refused_busy: u64,
-    /// Requests refused before start on order.
+    /// Requests refused before the start by an injected fault.
     pub refused_ordered: u64,
-    /// Requests that were no task.
+    /// Requests with an invalid payload.
     pub malformed: u64,
-    /// Connections that ended before the answer was given.
+    /// Started tasks whose connection closed before the response.
     pub dropped: u64,
-    /// Starts beyond [`STARTS_MAX`].
+    /// Starts beyond [`STARTS_MAX`], which are not recorded.
     pub starts_not_recorded: u64,
-    /// Most slots held at once at one backend server.
+    /// Peak number of slots in use at one backend server.
     pub slots_held_max: u64,
 }
 
-/// Hash of a body, the same in every process of one build.
+/// Hash of a body, in hexadecimal; equal in all processes of the same build.
 pub fn body_hash(body: &[u8]) -> String {
     let mut hasher = DefaultHasher::new();
     hasher.write(body);
--- a/crates/fakes/src/worker/run.rs
+++ b/crates/fakes/src/worker/run.rs
@@ -1,4 +1,4 @@
-//! One task at one backend server: refuse, or hold a slot, run and answer.
+//! Handles task requests of a fake backend server.
 
 use std::{sync::Arc, time::Duration};
 
@@ -13,15 +13,15 @@
     faults::WorkerFaults,
     record::{STARTS_MAX, TaskStart, body_hash, unix_ms},
 };
-use crate::http::{self, Answer, CloseConnection};
+use crate::http::{self, CloseConnection, HandlerResult};
 
-/// Header that names the task.
+/// Request and response header that names the task.
 pub const TASK_HEADER: &str = "trefoil-task";
-/// What a wrong answer names.
+/// Task named by responses under [`WorkerFaults::wrong_task`].
 const OTHER_TASK: &str = "0000000000000-other/0/1";
 const MICROS_PER_MILLI: f64 = 1_000.0;
 
-/// Payload of a task as this stand-in reads it.
+/// Payload of a task.
 #[derive(Debug, Deserialize)]
 struct Payload {
     #[serde(default)]
@@ -33,14 +33,15 @@
 }
 
 #[derive(Debug, Serialize)]
-struct TaskAnswer<'a> {
+struct TaskResponse<'a> {
     worker: &'a str,
     result: &'a Option<Box<RawValue>>,
 }
 
-/// Marks a start as dropped unless its answer was given.
+/// Marks the start as dropped unless its task was answered.
 struct StartGuard {
     shared: Arc<Shared>,
+    /// Index of the recorded start.
     start: Option<usize>,
     answered: bool,
 }
@@ -57,40 +58,43 @@
     }
 }
 
-/// Takes one task request.
-pub(super) async fn run(
+/// Handles one task request.
+pub(super) async fn run_task(
     shared: Arc<Shared>,
     server: Arc<BackendServer>,
     headers: HeaderMap,
     body: Bytes,
-) -> Answer {
+) -> HandlerResult {
     shared.counters().requests += 1;
-    let Ok(payload) = http::from_json::<Payload>(&body) else {
+    let Ok(payload) = http::parse_json::<Payload>(&body) else {
         shared.counters().malformed += 1;
-        return http::error(StatusCode::BAD_REQUEST, "the payload is no task");
+        return http::error(StatusCode::BAD_REQUEST, "invalid task payload");
     };
     let faults = server.faults();
     if faults.refuse_all {
         shared.counters().refused_ordered += 1;
-        return http::error(StatusCode::SERVICE_UNAVAILABLE, "refused on order");
+        return http::error(
+            StatusCode::SERVICE_UNAVAILABLE,
+            "refused by an injected fault",
+        );
     }
     let Ok(slot) = Arc::clone(&server.slots).try_acquire_owned() else {
         shared.counters().refused_busy += 1;
-        return http::error(StatusCode::SERVICE_UNAVAILABLE, "every slot is held");
+        return http::error(StatusCode::SERVICE_UNAVAILABLE, "all slots are in use");
     };
     let task = headers.get(TASK_HEADER).cloned();
-    let mut guard = start(&shared, &server, task.as_ref(), &payload, &body);
-    hold_slot(slot, &faults, payload.run_ms).await?;
+    let mut guard = record_start(&shared, &server, task.as_ref(), &payload, &body);
+    occupy_slot(slot, &faults, payload.run_ms).await?;
     if faults.drop_after_start {
         return Err(CloseConnection);
     }
     sleep(Duration::from_millis(faults.late_ms)).await;
     guard.answered = true;
-    answer(&shared, &server, &faults, &payload, task)
+    respond(&shared, &server, &faults, &payload, task)
 }
 
-/// Runs to the end even where the connection goes away meanwhile.
-async fn hold_slot(
+/// Occupies the slot for the run time, even if the connection closes meanwhile.
+async fn occupy_slot(
     slot: OwnedSemaphorePermit,
     faults: &WorkerFaults,
     run_ms: f64,
@@ -107,14 +111,14 @@
     running.await.map_err(|_| CloseConnection)
 }
 
-fn start(
+fn record_start(
     shared: &Arc<Shared>,
     server: &BackendServer,
     task: Option<&HeaderValue>,
     payload: &Payload,
     body: &[u8],
 ) -> StartGuard {
-    let held = (shared.slots - server.slots.available_permits()) as u64;
+    let slots_in_use = (shared.slots - server.slots.available_permits()) as u64;
     let task = task.and_then(|task| task.to_str().ok()).unwrap_or_default();
     let start = TaskStart {
         task: task.to_owned(),
@@ -122,57 +126,57 @@
         started_us: shared.started.elapsed().as_micros() as u64,
         wall_ms: unix_ms(),
         body_hash: body_hash(body),
-        token: token(payload),
+        token: token_of(payload),
         dropped: false,
     };
     let mut starts = shared.starts();
     let mut counters = shared.counters();
     counters.starts += 1;
-    counters.slots_held_max = counters.slots_held_max.max(held);
-    let recorded = starts.len() < STARTS_MAX;
-    match recorded {
+    counters.slots_held_max = counters.slots_held_max.max(slots_in_use);
+    let is_recorded = starts.len() < STARTS_MAX;
+    match is_recorded {
         true => starts.push(start),
         false => counters.starts_not_recorded += 1,
     }
     StartGuard {
         shared: Arc::clone(shared),
-        start: recorded.then(|| starts.len() - 1),
+        start: is_recorded.then(|| starts.len() - 1),
         answered: false,
     }
 }
 
-fn token(payload: &Payload) -> Option<String> {
+fn token_of(payload: &Payload) -> Option<String> {
     let result = payload.result.as_ref()?;
     let result: Value = serde_json::from_str(result.get()).ok()?;
     result["token"].as_str().map(str::to_owned)
 }
 
-fn answer(
+fn respond(
     shared: &Shared,
     server: &BackendServer,
     faults: &WorkerFaults,
     payload: &Payload,
     task: Option<HeaderValue>,
-) -> Answer {
+) -> HandlerResult {
     let task = match faults.wrong_task {
         true => Some(HeaderValue::from_static(OTHER_TASK)),
         false => task,
     };
-    let mut answer = match faults.fail_all || payload.fail {
+    let mut response = match faults.fail_all || payload.fail {
         true => {
             shared.counters().failed += 1;
             http::error(StatusCode::INTERNAL_SERVER_ERROR, "the task failed")
         }
         false => {
             shared.counters().answered += 1;
-            http::ok_json(&TaskAnswer {
+            http::ok_json(&TaskResponse {
                 worker: &server.name,
                 result: &payload.result,
             })
         }
     }?;
     if let Some(task) = task {
-        answer.headers_mut().insert(TASK_HEADER, task);
+        response.headers_mut().insert(TASK_HEADER, task);
     }
-    Ok(answer)
+    Ok(response)
 }
--- a/crates/fakes/tests/load.rs
+++ b/crates/fakes/tests/load.rs
@@ -14,7 +14,7 @@
 use tokio::net::TcpListener;
 use trefoil_fakes::{
     check::check,
-    http::{self, Answer, CloseConnection, Server},
+    http::{self, CloseConnection, HandlerResult, Server},
     load::{self, Bursts, LoadOptions, Policy, law::Law, plan::Plan},
     worker::{self, WorkerOptions, faults::WorkerFaultUpdate},
 };
@@ -111,14 +111,14 @@
 }
 
 /// Refuses each first submission, and completes the second.
-async fn answer(seen: Arc<AtomicUsize>, request: Request<Incoming>) -> Answer {
+async fn answer(seen: Arc<AtomicUsize>, request: Request<Incoming>) -> HandlerResult {
     if request.uri().path() == "/metrics" {
         return http::ok_json(&0);
     }
     let key = request.headers().get("idempotency-key").cloned();
     let key = key.ok_or(CloseConnection)?;
     let body = http::read_body(request).await?;
-    let body: Value = http::from_json(&body).map_err(|_| CloseConnection)?;
+    let body: Value = http::parse_json(&body).map_err(|_| CloseConnection)?;
     if seen.fetch_add(1, Ordering::Relaxed).is_multiple_of(2) {
         let problem = json!({
             "type": "urn:trefoilbay:problem:overload", "verdict": "not_run", "retry_after_ms": 1,
