--- a/crates/core/src/dispatch/owner/holds.rs
+++ b/crates/core/src/dispatch/owner/lease_renewal.rs
@@ -6,9 +6,12 @@
 //! order and tells whether it was carried out before. While the worker does
 //! not answer, its runs are counted as running until their leases lapse.
 
-use super::super::limits::{ACK_IDLE_MS, ADOPT_MS, HOLD_WAIT_MS, LEASE_MAX_MS, LEASE_MS, PROBE_MS};
-use super::super::order::{HoldOutcome, ListedRun};
-use super::super::worker::{OpenHold, Run};
+use super::super::limits::{
+    ADOPTION_GRACE_MS, IDLE_ACK_DELAY_MS, IDLE_RETRY_BACKOFF_MAX_MS, LEASE_MAX_MS, LEASE_MS,
+    RENEW_WAIT_MS,
+};
+use super::super::order::{ListedRun, RenewOutcome};
+use super::super::worker::{OpenRenewal, Run};
 use super::*;
 
 impl Owner {
@@ -19,7 +22,7 @@
         }
         let overdue_ms = self.overdue_on(now_ms, key);
         let worker = &mut self.workers[key];
-        let unacked = worker.acked_upto < worker.ends_upto;
+        let unacked = worker.acked_completion < worker.last_completion;
         if worker.has_left(now_ms) && worker.runs.is_empty() && !unacked {
             // It may come back, and has seen this fence.
             self.fence = self.fence.max(worker.fence);
@@ -28,54 +31,58 @@
             self.worker_ids.remove(&id);
             return;
         }
-        let open = worker.hold.is_some_and(|hold| hold.fence == worker.fence);
-        if (open && !worker.look_due) || now_ms < worker.quiet_until_ms {
+        let open = worker
+            .renewal
+            .is_some_and(|hold| hold.fence == worker.fence);
+        if (open && !worker.poll_due) || now_ms < worker.backoff_until_ms {
             return;
         }
         let started = |run: &Run| !matches!(run.state, RunState::Starting(_));
-        let wait_ms = match worker.standing {
-            Standing::Outranked => return,
-            Standing::Unfenced => 0,
-            Standing::Fenced if worker.look_due => 0,
-            Standing::Fenced if worker.runs.iter().any(started) => HOLD_WAIT_MS,
-            Standing::Fenced if !worker.runs.is_empty() || !unacked => return,
-            Standing::Fenced if now_ms < worker.ended_ms + ACK_IDLE_MS => return,
-            Standing::Fenced => 0,
+        let wait_ms = match worker.fencing {
+            FencingState::Superseded => return,
+            FencingState::Unfenced => 0,
+            FencingState::Fenced if worker.poll_due => 0,
+            FencingState::Fenced if worker.runs.iter().any(started) => RENEW_WAIT_MS,
+            FencingState::Fenced if !worker.runs.is_empty() || !unacked => return,
+            FencingState::Fenced if now_ms < worker.last_completion_ms + IDLE_ACK_DELAY_MS => {
+                return;
+            }
+            FencingState::Fenced => 0,
         };
         // Neither runs that are being stopped nor starts of unknown fate get more time.
         let running = |run: &Run| matches!(run.state, RunState::Running);
-        let renews = !worker.silent && worker.runs.iter().any(running);
+        let renews = !worker.last_renewal_unanswered && worker.runs.iter().any(running);
         let deadline_ms = match renews {
-            true => worker.lease(now_ms, LEASE_MS, overdue_ms),
+            true => worker.extend_lease(now_ms, LEASE_MS, overdue_ms),
             false => None,
         };
-        worker.look_due = false;
-        worker.holds_sent += 1;
-        worker.hold = Some(OpenHold {
-            number: worker.holds_sent,
+        worker.poll_due = false;
+        worker.renewals_sent += 1;
+        worker.renewal = Some(OpenRenewal {
+            number: worker.renewals_sent,
             fence: worker.fence,
-            ends_upto: worker.ends_upto,
+            acked_completion: worker.last_completion,
             sent_ms: now_ms,
             wait_ms,
         });
-        out.push(Command::Hold(HoldOrder {
+        out.push(Command::Renew(RenewOrder {
             target: target_of(key, worker),
-            number: worker.holds_sent,
+            number: worker.renewals_sent,
             deadline_ms,
-            ends_upto: worker.ends_upto,
+            acked_completion: worker.last_completion,
             wait_ms,
-            answer_ms: self.answer_times.limit_ms(),
+            answer_timeout_ms: self.answer_times.limit_ms(),
         }));
     }
 
     /// Takes in what became of the hold of this number, sent under `fence`.
-    pub fn hold_answered(
+    pub fn on_renew_result(
         &mut self,
         now_ms: u64,
         key: WorkerKey,
         fence: Fence,
         number: u64,
-        outcome: HoldOutcome,
+        outcome: RenewOutcome,
         out: &mut Vec<Command>,
     ) {
         if !fence.same_ownership(self.fence) {
@@ -84,40 +91,40 @@
         let Some(worker) = self.workers.get_mut(key) else {
             return;
         };
-        if outcome == HoldOutcome::OtherLife {
+        if outcome == RenewOutcome::WrongIncarnation {
             self.life_over(now_ms, key, out);
             return self.settle(now_ms, out);
         }
-        let Some(hold) = worker.hold.filter(|hold| hold.number == number) else {
+        let Some(hold) = worker.renewal.filter(|hold| hold.number == number) else {
             return self.take_late_ends(now_ms, key, outcome, out);
         };
-        worker.hold = None;
+        worker.renewal = None;
         self.dirty.insert(key);
         if fence != worker.fence {
             return self.settle(now_ms, out);
         }
         match outcome {
-            HoldOutcome::Held {
+            RenewOutcome::Renewed {
                 clock_ms,
                 running,
-                ended,
+                completions: ended,
             } => {
-                worker.read_clock(now_ms, clock_ms);
-                let is_back = worker.standing == Standing::Unfenced;
+                worker.observe_clock(now_ms, clock_ms);
+                let is_back = worker.fencing == FencingState::Unfenced;
                 if is_back {
-                    worker.standing = Standing::Fenced;
-                    out.push(Command::Note(Note::worker("fenced", worker)));
+                    worker.fencing = FencingState::Fenced;
+                    out.push(Command::Log(LogEvent::worker("fenced", worker)));
                 }
                 if self.clearance.fenced(&worker.record.id) {
                     self.queue.invalidate();
                 }
-                worker.silent = false;
-                worker.misses = 0;
-                worker.heard_ms = now_ms;
+                worker.last_renewal_unanswered = false;
+                worker.unanswered_renewals = 0;
+                worker.last_heard_ms = now_ms;
                 if hold.wait_ms == 0 {
                     self.answer_times.answered(now_ms - hold.sent_ms);
                 }
-                worker.acked_upto = worker.acked_upto.max(hold.ends_upto);
+                worker.acked_completion = worker.acked_completion.max(hold.acked_completion);
                 for end in ended {
                     self.take_end(now_ms, key, &end, out);
                 }
@@ -126,18 +133,18 @@
                     self.acquit_tasks(key);
                 }
             }
-            HoldOutcome::Fenced => self.outranked(now_ms, key, out),
-            HoldOutcome::OtherLife => {}
-            HoldOutcome::Unhealthy | HoldOutcome::NoAnswer => {
-                if worker.standing == Standing::Fenced {
-                    out.push(Command::Note(Note::worker(
+            RenewOutcome::Fenced => self.outranked(now_ms, key, out),
+            RenewOutcome::WrongIncarnation => {}
+            RenewOutcome::Unhealthy | RenewOutcome::NoAnswer => {
+                if worker.fencing == FencingState::Fenced {
+                    out.push(Command::Log(LogEvent::worker(
                         "lease renewal unanswered",
                         worker,
                     )));
                 }
-                worker.standing = Standing::Unfenced;
-                worker.silent = true;
-                worker.missed(now_ms);
+                worker.fencing = FencingState::Unfenced;
+                worker.last_renewal_unanswered = true;
+                worker.record_unanswered_renewal(now_ms);
                 self.answer_times.unanswered();
             }
         }
@@ -149,10 +156,13 @@
         &mut self,
         now_ms: u64,
         key: WorkerKey,
-        outcome: HoldOutcome,
+        outcome: RenewOutcome,
         out: &mut Vec<Command>,
     ) {
-        if let HoldOutcome::Held { ended, .. } = outcome {
+        if let RenewOutcome::Renewed {
+            completions: ended, ..
+        } = outcome
+        {
             for end in ended {
                 self.take_end(now_ms, key, &end, out);
             }
@@ -166,7 +176,7 @@
         &mut self,
         now_ms: u64,
         key: WorkerKey,
-        hold: OpenHold,
+        hold: OpenRenewal,
         running: &[ListedRun],
         out: &mut Vec<Command>,
     ) {
@@ -201,9 +211,9 @@
             .filter(|listed| worker.position(&listed.task, listed.run_id).is_none())
             .collect();
         for run in gone {
-            let mut note = Note::job("run not found", &run.task);
+            let mut note = LogEvent::job("run not found", &run.task);
             note.worker = self.workers[key].record.id.to_string();
-            out.push(Command::Note(note));
+            out.push(Command::Log(note));
             self.requeue(now_ms, &run.owner, 0);
         }
         for listed in strangers {
@@ -221,17 +231,17 @@
     ) {
         let task = self.find_task(&listed.task);
         let waiting = |&(job, index): &(JobKey, usize)| {
-            !self.jobs[job].stopping && self.jobs[job].tasks[index].waits()
+            !self.jobs[job].stopping && self.jobs[job].tasks[index].is_waiting()
         };
         let adopted = task.filter(waiting);
         let (owner, room, expected_ms) = match adopted {
             Some((job_key, index)) => {
                 let job = &mut self.jobs[job_key];
                 job.started = true;
-                job.tasks[index].state = TaskState::OnWorker(key);
+                job.tasks[index].state = TaskState::Assigned(key);
                 job.tasks[index].run_id = listed.run_id;
                 let phase = &job.spec.phases[usize::from(job.tasks[index].phase)];
-                let room = place::room_of(phase);
+                let room = placement::room_of(phase);
                 (
                     RunOwner::Task(job_key, index),
                     Some(room),
@@ -240,30 +250,32 @@
             }
             None => {
                 // A second run of a task that runs elsewhere is stopped at once.
-                let grace_ms = if task.is_some() { 0 } else { ADOPT_MS };
+                let grace_ms = if task.is_some() { 0 } else { ADOPTION_GRACE_MS };
                 let stop_at_ms = now_ms + grace_ms;
-                (RunOwner::Nobody { stop_at_ms }, None, 0)
+                (RunOwner::Orphan { stop_at_ms }, None, 0)
             }
         };
-        let mut note = Note::job("run of previous owner found", &listed.task);
+        let mut note = LogEvent::job("run of previous owner found", &listed.task);
         note.detail = format!("adopted {}", adopted.is_some());
         let worker = &mut self.workers[key];
         note.worker = worker.record.id.to_string();
-        out.push(Command::Note(note));
+        out.push(Command::Log(note));
         worker.runs.push(Run {
             task: listed.task.clone(),
             run_id: listed.run_id,
             owner,
             state: RunState::Running,
-            room,
+            resources: room,
             ordered_ms: now_ms,
             confirmed_ms: now_ms,
             estimate_ms: expected_ms,
             expected_ms,
-            patience: place::patience(expected_ms, 0),
+            timeouts: placement::patience(expected_ms, 0),
         });
         // The earlier owner may have renewed its lease just before.
-        worker.lapsed_at_ms = worker.lapsed_at_ms.max(now_ms + LEASE_MAX_MS + PROBE_MS);
+        worker.leases_expire_ms = worker
+            .leases_expire_ms
+            .max(now_ms + LEASE_MAX_MS + IDLE_RETRY_BACKOFF_MAX_MS);
         self.dirty.insert(key);
     }
 
@@ -289,14 +301,14 @@
     fn expire_leases(&mut self, now_ms: u64, out: &mut Vec<Command>) {
         let mut lost = Vec::new();
         for (key, worker) in &mut self.workers {
-            let answers = worker.standing == Standing::Fenced;
-            if answers || worker.runs.is_empty() || now_ms < worker.lapsed_at_ms {
+            let answers = worker.fencing == FencingState::Fenced;
+            if answers || worker.runs.is_empty() || now_ms < worker.leases_expire_ms {
                 continue;
             }
-            out.push(Command::Note(Note::worker("leases expired", worker)));
-            worker.trust.failed(now_ms);
+            out.push(Command::Log(LogEvent::worker("leases expired", worker)));
+            worker.health.record_failure(now_ms);
             // What was ordered under the present fence must not start any more.
-            worker.raise();
+            worker.raise_fence();
             lost.push((key, std::mem::take(&mut worker.runs)));
         }
         if !lost.is_empty() {
--- a/crates/core/src/dispatch/owner/origins.rs
+++ b/crates/core/src/dispatch/owner/origins.rs
@@ -4,7 +4,7 @@
 
 impl Owner {
     /// An origin had its link at `alive_ms`, by its own word.
-    pub fn origin_alive(&mut self, origin: Origin, alive_ms: u64) {
+    pub fn on_origin_heartbeat(&mut self, origin: Origin, alive_ms: u64) {
         self.alive_ms.insert(origin, alive_ms);
     }
 
@@ -14,7 +14,7 @@
         match origin {
             Some(origin @ Origin::Link(_)) => {
                 let alive_ms = self.alive_ms.get(&origin).copied().unwrap_or(now_ms);
-                now_ms.saturating_sub(alive_ms + LINK_SILENT_MS)
+                now_ms.saturating_sub(alive_ms + LINK_TIMEOUT_MS)
             }
             Some(Origin::Local) | None => 0,
         }
@@ -25,7 +25,7 @@
         let runs = self.workers[key].runs.iter();
         let overdue = runs.filter_map(|run| match run.owner {
             RunOwner::Task(job, _) => self.jobs.get(job),
-            RunOwner::Nobody { .. } => None,
+            RunOwner::Orphan { .. } => None,
         });
         let overdue = overdue.map(|job| self.overdue_ms(now_ms, job.origin));
         overdue.max().unwrap_or(0)
@@ -33,7 +33,7 @@
 
     /// The link of an origin broke. Nothing new starts for its jobs, and they
     /// end unless the origin comes back soon with another link.
-    pub fn origin_lost(&mut self, now_ms: u64, origin: Origin, out: &mut Vec<Command>) {
+    pub fn on_origin_lost(&mut self, now_ms: u64, origin: Origin, out: &mut Vec<Command>) {
         if !self.alive_ms.contains_key(&origin) {
             // Nothing tells how long its leases may go on.
             return self.origin_gone(now_ms, origin, out);
@@ -48,7 +48,7 @@
     /// Ends the jobs of origins that have not come back in time.
     pub(super) fn expire_origins(&mut self, now_ms: u64, out: &mut Vec<Command>) {
         while let Some(&(lost_ms, origin)) = self.lost_origins.front()
-            && now_ms >= lost_ms + RESUME_MS
+            && now_ms >= lost_ms + ORIGIN_RECONNECT_GRACE_MS
         {
             self.lost_origins.pop_front();
             self.origin_gone(now_ms, origin, out);
@@ -61,7 +61,7 @@
         let keys: Vec<JobKey> = self.jobs.iter().filter_map(lost).collect();
         for key in keys {
             let id = self.jobs[key].spec.id.clone();
-            out.push(Command::Note(Note::job("origin lost", &id)));
+            out.push(Command::Log(LogEvent::job("origin lost", &id)));
             self.abandon(now_ms, key, out);
         }
         self.alive_ms.remove(&origin);
--- a/crates/core/tests/dispatch_crashes.rs
+++ b/crates/core/tests/dispatch_crashes.rs
@@ -7,9 +7,11 @@
 
 use dispatch_support::orders::{LINK, answer_hold, answer_start, fenced_owner};
 use dispatch_support::{SimWorker, holds, job, record, starts, stops};
-use trefoil_core::dispatch::order::{HoldOrder, HoldOutcome, OrderOutcome, StartOrder, StopOrder};
-use trefoil_core::dispatch::owner::{Answered, Command, Owner};
-use trefoil_core::dispatch::worker::Room;
+use trefoil_core::dispatch::order::{
+    OrderOutcome, RenewOrder, RenewOutcome, StartOrder, StopOrder,
+};
+use trefoil_core::dispatch::owner::{Command, OrderResult, Owner};
+use trefoil_core::dispatch::worker::Resources;
 use trefoil_schema::dispatch::Outcome;
 
 const TICK_MS: u64 = 25;
@@ -21,7 +23,7 @@
 enum Order {
     Start(StartOrder),
     Stop(StopOrder),
-    Hold(HoldOrder),
+    Hold(RenewOrder),
 }
 
 /// An owner and its workers in virtual time.
@@ -75,20 +77,20 @@
     fn take(&mut self, commands: Vec<Command>) {
         for start in starts(&commands) {
             self.started.push((self.now_ms, start.clone()));
-            let answer_ms = start.answer_ms;
+            let answer_ms = start.answer_timeout_ms;
             self.send(Order::Start(start), answer_ms);
         }
         for stop in stops(&commands) {
-            let answer_ms = stop.answer_ms;
+            let answer_ms = stop.answer_timeout_ms;
             self.send(Order::Stop(stop), answer_ms);
         }
         for hold in holds(&commands) {
-            let answer_ms = hold.wait_ms + hold.answer_ms;
+            let answer_ms = hold.wait_ms + hold.answer_timeout_ms;
             self.send(Order::Hold(hold), answer_ms);
         }
         for command in commands {
-            if let Command::Ended { ending, .. } = command {
-                self.ended.push((ending.job_id, ending.outcome));
+            if let Command::JobEnded { result, .. } = command {
+                self.ended.push((result.job_id, result.outcome));
             }
         }
     }
@@ -133,7 +135,7 @@
                 let worker = living(&stop.target.worker_id);
                 let outcome =
                     worker.map_or(OrderOutcome::NoAnswer, |worker| worker.stop(now_ms, &stop));
-                let answer = Answered {
+                let answer = OrderResult {
                     worker: stop.target.worker,
                     fence: stop.target.fence,
                     task: stop.task,
@@ -141,13 +143,13 @@
                     outcome,
                 };
                 let mut out = Vec::new();
-                self.owner.stop_answered(now_ms, &answer, &mut out);
+                self.owner.on_stop_result(now_ms, &answer, &mut out);
                 out
             }
             Order::Hold(hold) => {
                 let worker = living(&hold.target.worker_id);
                 let outcome =
-                    worker.map_or(HoldOutcome::NoAnswer, |worker| worker.hold(now_ms, &hold));
+                    worker.map_or(RenewOutcome::NoAnswer, |worker| worker.hold(now_ms, &hold));
                 answer_hold(&mut self.owner, now_ms, &hold, outcome)
             }
         }
@@ -308,7 +310,7 @@
     let mut pool = Pool::new(&["w1"]);
     pool.delegate("a", 2);
     let mut shrunk = record("w1");
-    shrunk.capacity = Room {
+    shrunk.capacity = Resources {
         cpu_millicores: 1000,
         ..shrunk.capacity
     };
--- a/crates/core/tests/dispatch_history/world.rs
+++ b/crates/core/tests/dispatch_history/world.rs
@@ -5,7 +5,7 @@
 
 use arbtest::arbitrary::{self, Unstructured};
 use trefoil_core::dispatch::job::Origin;
-use trefoil_core::dispatch::limits::{DELEGATED_GAP_MS, LINK_SILENT_MS};
+use trefoil_core::dispatch::limits::{LINK_TIMEOUT_MS, REDELEGATION_DELAY_MS};
 use trefoil_core::dispatch::owner::{Command, Owner};
 use trefoil_core::dispatch::ownership::Roster;
 use trefoil_schema::dispatch::Outcome;
@@ -89,9 +89,9 @@
         };
         if fate.is_none_or(|(_, answered)| !answered) {
             let answer_ms = match &order {
-                Order::Hold(hold) => hold.wait_ms + hold.answer_ms,
-                Order::Start(start) => start.answer_ms,
-                Order::Stop(stop) => stop.answer_ms,
+                Order::Hold(hold) => hold.wait_ms + hold.answer_timeout_ms,
+                Order::Start(start) => start.answer_timeout_ms,
+                Order::Stop(stop) => stop.answer_timeout_ms,
             };
             let event = unanswered(owner, order.clone());
             self.at(self.now_ms + answer_ms, event);
@@ -112,11 +112,11 @@
             match command {
                 Command::Start(order) => self.send(owner, Order::Start(order))?,
                 Command::Stop(order) => self.send(owner, Order::Stop(order))?,
-                Command::Hold(order) => self.send(owner, Order::Hold(order))?,
-                Command::Ended { ending, .. } => {
-                    self.ended(owner, &ending.job_id, ending.outcome);
+                Command::Renew(order) => self.send(owner, Order::Hold(order))?,
+                Command::JobEnded { result, .. } => {
+                    self.ended(owner, &result.job_id, result.outcome);
                 }
-                Command::Outranked | Command::Note(_) => {}
+                Command::Superseded | Command::Log(_) => {}
             }
         }
         Ok(())
@@ -238,26 +238,26 @@
         let present = owner + 1 == self.owners.len();
         let actor = &mut self.owners[owner];
         if present {
-            actor.origin_alive(ENTRY, now_ms);
+            actor.on_origin_heartbeat(ENTRY, now_ms);
         }
         match event {
             Event::Start { order, outcome, .. } => {
                 let answer = answered(order.target, order.task, order.run_id, outcome);
-                actor.start_answered(now_ms, &answer, &mut out);
+                actor.on_start_result(now_ms, &answer, &mut out);
             }
             Event::Stop { order, outcome, .. } => {
                 let answer = answered(order.target, order.task, order.run_id, outcome);
-                actor.stop_answered(now_ms, &answer, &mut out);
+                actor.on_stop_result(now_ms, &answer, &mut out);
             }
             Event::Hold { order, outcome, .. } => {
                 let (worker, fence) = (order.target.worker, order.target.fence);
-                actor.hold_answered(now_ms, worker, fence, order.number, outcome, &mut out);
+                actor.on_renew_result(now_ms, worker, fence, order.number, outcome, &mut out);
             }
             Event::Tick { .. } => {
                 actor.tick(now_ms, &mut out);
                 self.at(now_ms + TICK_MS, Event::Tick { owner });
             }
-            Event::Notice { .. } => actor.origin_lost(now_ms, ENTRY, &mut out),
+            Event::Notice { .. } => actor.on_origin_lost(now_ms, ENTRY, &mut out),
             Event::Registry { .. } => {
                 let listed = self.workers.iter().zip(&self.added_ms);
                 let listed = listed.filter(|(_, added_ms)| **added_ms <= now_ms);
@@ -275,10 +275,10 @@
             }
             Event::SendRoster { .. } => {
                 let roster = actor.roster();
-                actor.roster_sent(roster.clone());
+                actor.on_roster_sent(roster.clone());
                 self.send_roster(owner, roster)?;
             }
-            Event::RosterStored { roster, .. } => actor.roster_stored(now_ms, roster, &mut out),
+            Event::RosterStored { roster, .. } => actor.on_roster_stored(now_ms, roster, &mut out),
             Event::Arrive { .. }
             | Event::Submit { .. }
             | Event::Resize { .. }
@@ -329,7 +329,7 @@
         if may_run {
             let is_only = self.now_ms >= job.unsafe_until_ms || job.unsafe_owner == Some(job.owner);
             job.unsafe_owner = Some(job.owner).filter(|_| is_only);
-            job.unsafe_until_ms = self.now_ms + DELEGATED_GAP_MS;
+            job.unsafe_until_ms = self.now_ms + REDELEGATION_DELAY_MS;
         }
         job.owner = next;
     }
@@ -395,7 +395,7 @@
             self.acts[lost] = false;
         } else {
             let late_ms = self.choices.int_in_range(0..=800)?;
-            let notice_ms = self.now_ms + LINK_SILENT_MS + late_ms;
+            let notice_ms = self.now_ms + LINK_TIMEOUT_MS + late_ms;
             self.at(notice_ms, Event::Notice { owner: lost });
         }
         let next = self.owners.len();
@@ -454,7 +454,7 @@
     fn check(&mut self) {
         let mut running: BTreeMap<String, usize> = BTreeMap::new();
         for worker in &mut self.workers {
-            worker.pass(self.now_ms);
+            worker.advance(self.now_ms);
             assert!(
                 worker.runs.len() <= 2,
                 "over capacity at {} ms",
--- a/crates/replay/src/bin/trefoil-replay.rs
+++ b/crates/replay/src/bin/trefoil-replay.rs
@@ -12,7 +12,7 @@
 use trefoil_replay::{arrivals, bound, simulation};
 
 /// Admits every job and refuses one only when its objective cannot be met anymore.
-const ADMIT_ALL: Settings = Settings { admits_all: true };
+const ADMIT_ALL: Settings = Settings { admit_all: true };
 
 fn main() -> Result<(), Box<dyn Error>> {
     let matches = command().get_matches();
--- a/crates/replay/src/simulation.rs
+++ b/crates/replay/src/simulation.rs
@@ -12,14 +12,14 @@
 use std::collections::{BTreeMap, BinaryHeap, HashMap};
 use std::sync::Arc;
 
-use trefoil_core::dispatch::entry::{self, Answer, Entry, Owned};
+use trefoil_core::dispatch::entry::{self, Answer, Entry, PoolOwner};
 use trefoil_core::dispatch::fence::Fence;
 use trefoil_core::dispatch::job::Origin;
-use trefoil_core::dispatch::limits::BEAT_MS;
+use trefoil_core::dispatch::limits::HEARTBEAT_MS;
 use trefoil_core::dispatch::order::{
-    EndKind, HoldOrder, HoldOutcome, StartOrder, StopOrder, WorkerKey,
+    RenewOrder, RenewOutcome, RunOutcome, StartOrder, StopOrder, WorkerKey,
 };
-use trefoil_core::dispatch::owner::{self, Answered, Owner};
+use trefoil_core::dispatch::owner::{self, OrderResult, Owner};
 use trefoil_core::dispatch::worker::WorkerRecord;
 use trefoil_schema::dispatch::{Claim, Job, Node};
 use xxhash_rust::xxh3::xxh3_64;
@@ -63,7 +63,7 @@
     JobEnded {
         entry: usize,
         pool: usize,
-        ending: owner::Ending,
+        result: owner::JobResult,
     },
     Start {
         pool: usize,
@@ -75,28 +75,28 @@
     },
     Renew {
         pool: usize,
-        order: HoldOrder,
+        order: RenewOrder,
     },
     StartAnswer {
         pool: usize,
-        answered: Answered,
+        answered: OrderResult,
     },
     StopAnswer {
         pool: usize,
-        answered: Answered,
+        answered: OrderResult,
     },
     RenewAnswer {
         pool: usize,
         worker: WorkerKey,
         fence: Fence,
         number: u64,
-        outcome: HoldOutcome,
+        outcome: RenewOutcome,
     },
     RunEnds {
         worker: usize,
         task: Arc<str>,
         run_id: u64,
-        how: EndKind,
+        how: RunOutcome,
     },
     RenewWaitEnds {
         worker: usize,
@@ -179,7 +179,7 @@
     fn schedule_initial_events(&mut self) {
         self.schedule_at(0, Event::RegistryPoll);
         self.schedule_at(0, Event::Tick);
-        self.schedule_at(BEAT_MS, Event::Heartbeat);
+        self.schedule_at(HEARTBEAT_MS, Event::Heartbeat);
         for (index, arrival) in self.arrivals.iter().enumerate() {
             let attempt = Attempt::first(index);
             self.schedule_at(WARM_UP_MS + arrival.at_ms, Event::Request(attempt));
@@ -250,7 +250,7 @@
             Event::CallerAbandons(attempt) => {
                 let entry = self.entry_of(attempt.job);
                 self.with_entry(entry, |entry, _, out| {
-                    entry.caller_left(attempt.ticket(), out);
+                    entry.on_caller_disconnected(attempt.ticket(), out);
                 });
             }
             Event::Delegate {
@@ -272,21 +272,21 @@
             Event::JobEnded {
                 entry,
                 pool,
-                ending,
+                result,
             } => {
                 let from = self.owner_of(pool);
                 self.with_entry(entry, |entry, now_ms, out| {
-                    entry.ended(now_ms, &from, &ending, out);
+                    entry.on_job_ended(now_ms, &from, &result, out);
                 });
             }
             Event::Start { pool, order } => self.on_start(pool, order),
             Event::Stop { pool, order } => self.on_stop(pool, order),
             Event::Renew { pool, order } => self.on_renew(pool, order),
             Event::StartAnswer { pool, answered } => self.with_owner(pool, |owner, now_ms, out| {
-                owner.start_answered(now_ms, &answered, out);
+                owner.on_start_result(now_ms, &answered, out);
             }),
             Event::StopAnswer { pool, answered } => self.with_owner(pool, |owner, now_ms, out| {
-                owner.stop_answered(now_ms, &answered, out);
+                owner.on_stop_result(now_ms, &answered, out);
             }),
             Event::RenewAnswer {
                 pool,
@@ -295,7 +295,7 @@
                 number,
                 outcome,
             } => self.with_owner(pool, |owner, now_ms, out| {
-                owner.hold_answered(now_ms, worker, fence, number, outcome, out);
+                owner.on_renew_result(now_ms, worker, fence, number, outcome, out);
             }),
             Event::RunEnds {
                 worker,
@@ -334,7 +334,7 @@
 
     /// The owner's claim on a pool, which is the same for the whole replay.
     fn claim_on(&self, pool: usize) -> Claim {
-        let Owned { pool, owner } = self.owner_of(pool);
+        let PoolOwner { pool, owner } = self.owner_of(pool);
         let domain = pool.split('/').next().unwrap_or("").to_owned();
         let owner = Node {
             name: owner,
@@ -348,8 +348,8 @@
         }
     }
 
-    fn owner_of(&self, pool: usize) -> Owned {
-        Owned {
+    fn owner_of(&self, pool: usize) -> PoolOwner {
+        PoolOwner {
             pool: self.pools[pool].clone(),
             owner: format!("owner-{pool}"),
         }
@@ -399,7 +399,10 @@
                 );
             }
             entry::Command::Revoked { .. } => {}
-            entry::Command::Answer { ticket, answer } => {
+            entry::Command::Answer {
+                request_id: ticket,
+                answer,
+            } => {
                 let at_ms = self.now_ms - WARM_UP_MS;
                 let outcome = match answer {
                     Answer::Completed => CallerOutcome::Completed { at_ms },
@@ -436,23 +439,23 @@
             owner::Command::Stop(order) => {
                 self.schedule_after(ONE_WAY_MS, Event::Stop { pool, order })
             }
-            owner::Command::Hold(order) => {
+            owner::Command::Renew(order) => {
                 self.schedule_after(ONE_WAY_MS, Event::Renew { pool, order })
             }
-            owner::Command::Ended {
+            owner::Command::JobEnded {
                 origin: Origin::Link(entry),
-                ending,
+                result,
                 ..
             } => {
                 let job_ended = Event::JobEnded {
                     entry: entry as usize,
                     pool,
-                    ending,
+                    result,
                 };
                 self.schedule_after(ONE_WAY_MS, job_ended);
             }
-            owner::Command::Ended { .. } => {}
-            owner::Command::Outranked | owner::Command::Note(_) => {}
+            owner::Command::JobEnded { .. } => {}
+            owner::Command::Superseded | owner::Command::Log(_) => {}
         }
     }
 
@@ -467,13 +470,13 @@
     }
 
     fn send_heartbeats(&mut self) {
-        self.schedule_after(BEAT_MS, Event::Heartbeat);
+        self.schedule_after(HEARTBEAT_MS, Event::Heartbeat);
         for pool in 0..self.owners.len() {
             let load = self.owners[pool].load(self.now_ms);
             let claim = self.claim_on(pool);
             for entry in 0..self.entries.len() {
                 self.with_entry(entry, |entry, now_ms, out| {
-                    entry.pool_seen(now_ms, &claim, load, out);
+                    entry.update_pool(now_ms, &claim, load, out);
                 });
             }
         }
--- a/crates/replay/src/simulation/callers.rs
+++ b/crates/replay/src/simulation/callers.rs
@@ -1,6 +1,6 @@
 //! Callers: requests, answers and retries.
 
-use trefoil_core::dispatch::entry::Ticket;
+use trefoil_core::dispatch::entry::RequestId;
 
 use super::{Event, Simulation, WARM_UP_MS};
 use crate::pattern::RetryPolicy;
@@ -20,11 +20,11 @@
         Self { job, is_retry }
     }
 
-    pub(super) fn ticket(self) -> Ticket {
+    pub(super) fn ticket(self) -> RequestId {
         self.job as u64 * 2 + u64::from(self.is_retry)
     }
 
-    pub(super) fn from_ticket(ticket: Ticket) -> Self {
+    pub(super) fn from_ticket(ticket: RequestId) -> Self {
         Self {
             job: (ticket / 2) as usize,
             is_retry: ticket % 2 == 1,
--- a/crates/replay/src/simulation/orders.rs
+++ b/crates/replay/src/simulation/orders.rs
@@ -1,10 +1,10 @@
 //! How workers carry out orders, and their answers.
 
-use trefoil_core::dispatch::limits::HOLD_WAIT_MS;
+use trefoil_core::dispatch::limits::RENEW_WAIT_MS;
 use trefoil_core::dispatch::order::{
-    EndKind, HoldOrder, HoldOutcome, OrderOutcome, Rejection, StartOrder, StopOrder,
+    OrderOutcome, Rejection, RenewOrder, RenewOutcome, RunOutcome, StartOrder, StopOrder,
 };
-use trefoil_core::dispatch::owner::Answered;
+use trefoil_core::dispatch::owner::OrderResult;
 
 use super::{Event, ONE_WAY_MS, Simulation};
 use crate::worker::PendingRenewal;
@@ -20,7 +20,10 @@
         if self.is_unanswered(self.orders_sent) {
             // The worker would reject the late order because its fencing token is superseded.
             let answered = answered_start(&order, OrderOutcome::NoAnswer);
-            return self.schedule_after(order.answer_ms, Event::StartAnswer { pool, answered });
+            return self.schedule_after(
+                order.answer_timeout_ms,
+                Event::StartAnswer { pool, answered },
+            );
         }
         let outcome = match self.workers[worker].up && self.workers[worker].start_run(&order) {
             true => {
@@ -40,9 +43,9 @@
         let arrival = &self.arrivals[job];
         let run_ms = arrival.run_times_ms[index] as f64 * self.workers[worker].slowdown;
         let how = if arrival.always_fails {
-            EndKind::Failed
+            RunOutcome::Failed
         } else {
-            EndKind::Done
+            RunOutcome::Done
         };
         let run_ends = Event::RunEnds {
             worker,
@@ -55,10 +58,10 @@
 
     pub(super) fn on_stop(&mut self, pool: usize, order: StopOrder) {
         let worker = self.position_of_worker(&order.target.worker_id);
-        if self.workers[worker].finish_run(&order.task, order.run_id, EndKind::Stopped) {
+        if self.workers[worker].finish_run(&order.task, order.run_id, RunOutcome::Stopped) {
             self.answer_pending_renewal(worker);
         }
-        let answered = Answered {
+        let answered = OrderResult {
             worker: order.target.worker,
             fence: order.target.fence,
             task: order.task,
@@ -70,17 +73,17 @@
         self.schedule_after(ONE_WAY_MS, Event::StopAnswer { pool, answered });
     }
 
-    pub(super) fn on_renew(&mut self, pool: usize, order: HoldOrder) {
+    pub(super) fn on_renew(&mut self, pool: usize, order: RenewOrder) {
         let worker = self.position_of_worker(&order.target.worker_id);
         self.orders_sent += 1;
         if !self.workers[worker].up || self.is_unanswered(self.orders_sent) {
-            return self.answer_renewal(pool, &order, HoldOutcome::NoAnswer);
+            return self.answer_renewal(pool, &order, RenewOutcome::NoAnswer);
         }
         self.workers[worker].apply_renewal(&order);
         if order.wait_ms > 0 && self.workers[worker].has_no_finished_runs() {
             let number = self.next_renewal;
             self.next_renewal += 1;
-            let wait_ms = order.wait_ms.min(HOLD_WAIT_MS);
+            let wait_ms = order.wait_ms.min(RENEW_WAIT_MS);
             self.workers[worker].pending_renewal = Some(PendingRenewal { order, number });
             return self.schedule_after(wait_ms, Event::RenewWaitEnds { worker, number });
         }
@@ -96,7 +99,7 @@
         }
     }
 
-    fn answer_renewal(&mut self, pool: usize, order: &HoldOrder, outcome: HoldOutcome) {
+    fn answer_renewal(&mut self, pool: usize, order: &RenewOrder, outcome: RenewOutcome) {
         let answer = Event::RenewAnswer {
             pool,
             worker: order.target.worker,
@@ -105,15 +108,15 @@
             outcome,
         };
         let delay_ms = match is_unanswered_renewal(&answer) {
-            true => order.wait_ms + order.answer_ms,
+            true => order.wait_ms + order.answer_timeout_ms,
             false => ONE_WAY_MS,
         };
         self.schedule_after(delay_ms, answer);
     }
 }
 
-fn answered_start(order: &StartOrder, outcome: OrderOutcome) -> Answered {
-    Answered {
+fn answered_start(order: &StartOrder, outcome: OrderOutcome) -> OrderResult {
+    OrderResult {
         worker: order.target.worker,
         fence: order.target.fence,
         task: order.task.clone(),
@@ -126,7 +129,7 @@
     matches!(
         answer,
         Event::RenewAnswer {
-            outcome: HoldOutcome::NoAnswer,
+            outcome: RenewOutcome::NoAnswer,
             ..
         }
     )
--- a/crates/replay/src/worker.rs
+++ b/crates/replay/src/worker.rs
@@ -5,14 +5,14 @@
 
 use trefoil_core::dispatch::fence::Fence;
 use trefoil_core::dispatch::order::{
-    EndKind, HoldOrder, HoldOutcome, ListedEnd, ListedRun, StartOrder,
+    ListedRun, RenewOrder, RenewOutcome, RunCompletion, RunOutcome, StartOrder,
 };
 use trefoil_core::dispatch::worker::WorkerRecord;
 
 /// A lease renewal whose answer waits for a run to end.
 #[derive(Clone, Debug)]
 pub(crate) struct PendingRenewal {
-    pub order: HoldOrder,
+    pub order: RenewOrder,
     /// Unique number of the wait, so that a stale timeout is told apart.
     pub number: u64,
 }
@@ -26,7 +26,7 @@
     pub up: bool,
     pub pending_renewal: Option<PendingRenewal>,
     runs: Vec<ListedRun>,
-    ended: VecDeque<ListedEnd>,
+    ended: VecDeque<RunCompletion>,
     ended_count: u64,
     fence: Fence,
 }
@@ -59,26 +59,26 @@
     }
 
     /// Ends a run; false if it is not running.
-    pub fn finish_run(&mut self, task: &Arc<str>, run_id: u64, how: EndKind) -> bool {
+    pub fn finish_run(&mut self, task: &Arc<str>, run_id: u64, how: RunOutcome) -> bool {
         let same = |run: &ListedRun| run.run_id == run_id && run.task == *task;
         let Some(position) = self.runs.iter().position(same) else {
             return false;
         };
         self.runs.swap_remove(position);
         self.ended_count += 1;
-        self.ended.push_back(ListedEnd {
+        self.ended.push_back(RunCompletion {
             number: self.ended_count,
             task: task.clone(),
             run_id,
-            how,
+            outcome: how,
         });
         true
     }
 
     /// Applies a renewal's fencing token and drops the runs that it acknowledges.
-    pub fn apply_renewal(&mut self, order: &HoldOrder) {
+    pub fn apply_renewal(&mut self, order: &RenewOrder) {
         self.fence = self.fence.max(order.target.fence);
-        self.ended.retain(|end| end.number > order.ends_upto);
+        self.ended.retain(|end| end.number > order.acked_completion);
     }
 
     pub fn has_no_finished_runs(&self) -> bool {
@@ -86,11 +86,11 @@
     }
 
     /// Answer to a renewal; the worker's clock has no offset.
-    pub fn listing(&self, now_ms: u64) -> HoldOutcome {
-        HoldOutcome::Held {
+    pub fn listing(&self, now_ms: u64) -> RenewOutcome {
+        RenewOutcome::Renewed {
             clock_ms: now_ms,
             running: self.runs.clone(),
-            ended: self.ended.iter().cloned().collect(),
+            completions: self.ended.iter().cloned().collect(),
         }
     }
 }
