--- a/crates/replay/src/simulation.rs
+++ b/crates/replay/src/simulation.rs
@@ -77,15 +77,15 @@
         pool: usize,
         order: RenewOrder,
     },
-    StartAnswer {
+    StartResult {
         pool: usize,
-        answered: OrderResult,
+        result: OrderResult,
     },
-    StopAnswer {
+    StopResult {
         pool: usize,
-        answered: OrderResult,
+        result: OrderResult,
     },
-    RenewAnswer {
+    RenewResult {
         pool: usize,
         worker: WorkerKey,
         fence: Fence,
@@ -96,7 +96,7 @@
         worker: usize,
         task: Arc<str>,
         run_id: u64,
-        how: RunOutcome,
+        outcome: RunOutcome,
     },
     RenewWaitEnds {
         worker: usize,
@@ -250,7 +250,7 @@
             Event::CallerAbandons(attempt) => {
                 let entry = self.entry_of(attempt.job);
                 self.with_entry(entry, |entry, _, out| {
-                    entry.on_caller_disconnected(attempt.ticket(), out);
+                    entry.on_caller_disconnected(attempt.request_id(), out);
                 });
             }
             Event::Delegate {
@@ -282,13 +282,13 @@
             Event::Start { pool, order } => self.on_start(pool, order),
             Event::Stop { pool, order } => self.on_stop(pool, order),
             Event::Renew { pool, order } => self.on_renew(pool, order),
-            Event::StartAnswer { pool, answered } => self.with_owner(pool, |owner, now_ms, out| {
-                owner.on_start_result(now_ms, &answered, out);
+            Event::StartResult { pool, result } => self.with_owner(pool, |owner, now_ms, out| {
+                owner.on_start_result(now_ms, &result, out);
             }),
-            Event::StopAnswer { pool, answered } => self.with_owner(pool, |owner, now_ms, out| {
-                owner.on_stop_result(now_ms, &answered, out);
+            Event::StopResult { pool, result } => self.with_owner(pool, |owner, now_ms, out| {
+                owner.on_stop_result(now_ms, &result, out);
             }),
-            Event::RenewAnswer {
+            Event::RenewResult {
                 pool,
                 worker,
                 fence,
@@ -301,9 +301,9 @@
                 worker,
                 task,
                 run_id,
-                how,
+                outcome,
             } => {
-                if self.workers[worker].finish_run(&task, run_id, how) {
+                if self.workers[worker].finish_run(&task, run_id, outcome) {
                     self.answer_pending_renewal(worker);
                 }
             }
@@ -399,10 +399,7 @@
                 );
             }
             entry::Command::Revoked { .. } => {}
-            entry::Command::Answer {
-                request_id: ticket,
-                answer,
-            } => {
+            entry::Command::Answer { request_id, answer } => {
                 let at_ms = self.now_ms - WARM_UP_MS;
                 let outcome = match answer {
                     Answer::Completed => CallerOutcome::Completed { at_ms },
@@ -414,7 +411,7 @@
                         CallerOutcome::Failed { at_ms }
                     }
                 };
-                self.on_answer(Attempt::from_ticket(ticket), outcome);
+                self.on_answer(Attempt::from_request_id(request_id), outcome);
             }
         }
     }
--- a/crates/replay/src/simulation/callers.rs
+++ b/crates/replay/src/simulation/callers.rs
@@ -20,14 +20,14 @@
         Self { job, is_retry }
     }
 
-    pub(super) fn ticket(self) -> RequestId {
+    pub(super) fn request_id(self) -> RequestId {
         self.job as u64 * 2 + u64::from(self.is_retry)
     }
 
-    pub(super) fn from_ticket(ticket: RequestId) -> Self {
+    pub(super) fn from_request_id(request_id: RequestId) -> Self {
         Self {
-            job: (ticket / 2) as usize,
-            is_retry: ticket % 2 == 1,
+            job: (request_id / 2) as usize,
+            is_retry: request_id % 2 == 1,
         }
     }
 }
@@ -63,7 +63,7 @@
         let patience_ms = arrival.abandons_ms.saturating_sub(arrival.at_ms);
         let deadline_ms = self.now_ms + patience_ms + 1;
         self.with_entry(entry, |entry, now_ms, out| {
-            entry.submit(now_ms, attempt.ticket(), spec, deadline_ms, out);
+            entry.submit(now_ms, attempt.request_id(), spec, deadline_ms, out);
         });
     }
 
--- a/crates/replay/src/simulation/orders.rs
+++ b/crates/replay/src/simulation/orders.rs
@@ -19,11 +19,9 @@
         self.orders_sent += 1;
         if self.is_unanswered(self.orders_sent) {
             // The worker would reject the late order because its fencing token is superseded.
-            let answered = answered_start(&order, OrderOutcome::NoAnswer);
-            return self.schedule_after(
-                order.answer_timeout_ms,
-                Event::StartAnswer { pool, answered },
-            );
+            let result = start_result(&order, OrderOutcome::NoAnswer);
+            return self
+                .schedule_after(order.answer_timeout_ms, Event::StartResult { pool, result });
         }
         let outcome = match self.workers[worker].up && self.workers[worker].start_run(&order) {
             true => {
@@ -34,15 +32,15 @@
             }
             false => OrderOutcome::Rejected(Rejection::Unhealthy),
         };
-        let answered = answered_start(&order, outcome);
-        self.schedule_after(ONE_WAY_MS, Event::StartAnswer { pool, answered });
+        let result = start_result(&order, outcome);
+        self.schedule_after(ONE_WAY_MS, Event::StartResult { pool, result });
     }
 
     fn schedule_run_end(&mut self, worker: usize, order: &StartOrder) {
         let (job, index) = parse_task_name(&order.task);
         let arrival = &self.arrivals[job];
         let run_ms = arrival.run_times_ms[index] as f64 * self.workers[worker].slowdown;
-        let how = if arrival.always_fails {
+        let outcome = if arrival.always_fails {
             RunOutcome::Failed
         } else {
             RunOutcome::Done
@@ -51,7 +49,7 @@
             worker,
             task: order.task.clone(),
             run_id: order.run_id,
-            how,
+            outcome,
         };
         self.schedule_after(run_ms as u64, run_ends);
     }
@@ -61,7 +59,7 @@
         if self.workers[worker].finish_run(&order.task, order.run_id, RunOutcome::Stopped) {
             self.answer_pending_renewal(worker);
         }
-        let answered = OrderResult {
+        let result = OrderResult {
             worker: order.target.worker,
             fence: order.target.fence,
             task: order.task,
@@ -70,7 +68,7 @@
                 clock_ms: self.now_ms,
             },
         };
-        self.schedule_after(ONE_WAY_MS, Event::StopAnswer { pool, answered });
+        self.schedule_after(ONE_WAY_MS, Event::StopResult { pool, result });
     }
 
     pub(super) fn on_renew(&mut self, pool: usize, order: RenewOrder) {
@@ -80,42 +78,42 @@
             return self.answer_renewal(pool, &order, RenewOutcome::NoAnswer);
         }
         self.workers[worker].apply_renewal(&order);
-        if order.wait_ms > 0 && self.workers[worker].has_no_finished_runs() {
+        if order.wait_ms > 0 && self.workers[worker].has_no_completions() {
             let number = self.next_renewal;
             self.next_renewal += 1;
             let wait_ms = order.wait_ms.min(RENEW_WAIT_MS);
             self.workers[worker].pending_renewal = Some(PendingRenewal { order, number });
             return self.schedule_after(wait_ms, Event::RenewWaitEnds { worker, number });
         }
-        let listing = self.workers[worker].listing(self.now_ms);
-        self.answer_renewal(pool, &order, listing);
+        let renewed = self.workers[worker].renew_outcome(self.now_ms);
+        self.answer_renewal(pool, &order, renewed);
     }
 
     pub(super) fn answer_pending_renewal(&mut self, worker: usize) {
         if let Some(renewal) = self.workers[worker].pending_renewal.take() {
             let pool = self.worker_pools[worker];
-            let listing = self.workers[worker].listing(self.now_ms);
-            self.answer_renewal(pool, &renewal.order, listing);
+            let renewed = self.workers[worker].renew_outcome(self.now_ms);
+            self.answer_renewal(pool, &renewal.order, renewed);
         }
     }
 
     fn answer_renewal(&mut self, pool: usize, order: &RenewOrder, outcome: RenewOutcome) {
-        let answer = Event::RenewAnswer {
+        let result = Event::RenewResult {
             pool,
             worker: order.target.worker,
             fence: order.target.fence,
             number: order.number,
             outcome,
         };
-        let delay_ms = match is_unanswered_renewal(&answer) {
+        let delay_ms = match is_unanswered_renewal(&result) {
             true => order.wait_ms + order.answer_timeout_ms,
             false => ONE_WAY_MS,
         };
-        self.schedule_after(delay_ms, answer);
+        self.schedule_after(delay_ms, result);
     }
 }
 
-fn answered_start(order: &StartOrder, outcome: OrderOutcome) -> OrderResult {
+fn start_result(order: &StartOrder, outcome: OrderOutcome) -> OrderResult {
     OrderResult {
         worker: order.target.worker,
         fence: order.target.fence,
@@ -125,10 +123,10 @@
     }
 }
 
-fn is_unanswered_renewal(answer: &Event) -> bool {
+fn is_unanswered_renewal(result: &Event) -> bool {
     matches!(
-        answer,
-        Event::RenewAnswer {
+        result,
+        Event::RenewResult {
             outcome: RenewOutcome::NoAnswer,
             ..
         }
--- a/crates/replay/src/worker.rs
+++ b/crates/replay/src/worker.rs
@@ -26,8 +26,8 @@
     pub up: bool,
     pub pending_renewal: Option<PendingRenewal>,
     runs: Vec<ListedRun>,
-    ended: VecDeque<RunCompletion>,
-    ended_count: u64,
+    completions: VecDeque<RunCompletion>,
+    completion_count: u64,
     fence: Fence,
 }
 
@@ -39,8 +39,8 @@
             up: true,
             pending_renewal: None,
             runs: Vec::new(),
-            ended: VecDeque::new(),
-            ended_count: 0,
+            completions: VecDeque::new(),
+            completion_count: 0,
             fence: Fence::default(),
         }
     }
@@ -59,38 +59,39 @@
     }
 
     /// Ends a run; false if it is not running.
-    pub fn finish_run(&mut self, task: &Arc<str>, run_id: u64, how: RunOutcome) -> bool {
-        let same = |run: &ListedRun| run.run_id == run_id && run.task == *task;
-        let Some(position) = self.runs.iter().position(same) else {
+    pub fn finish_run(&mut self, task: &Arc<str>, run_id: u64, outcome: RunOutcome) -> bool {
+        let is_match = |run: &ListedRun| run.run_id == run_id && run.task == *task;
+        let Some(position) = self.runs.iter().position(is_match) else {
             return false;
         };
         self.runs.swap_remove(position);
-        self.ended_count += 1;
-        self.ended.push_back(RunCompletion {
-            number: self.ended_count,
+        self.completion_count += 1;
+        self.completions.push_back(RunCompletion {
+            number: self.completion_count,
             task: task.clone(),
             run_id,
-            outcome: how,
+            outcome,
         });
         true
     }
 
-    /// Applies a renewal's fencing token and drops the runs that it acknowledges.
+    /// Applies a renewal: takes its fencing token and drops the completions that it acknowledges.
     pub fn apply_renewal(&mut self, order: &RenewOrder) {
         self.fence = self.fence.max(order.target.fence);
-        self.ended.retain(|end| end.number > order.acked_completion);
+        self.completions
+            .retain(|completion| completion.number > order.acked_completion);
     }
 
-    pub fn has_no_finished_runs(&self) -> bool {
-        self.ended.is_empty()
+    pub fn has_no_completions(&self) -> bool {
+        self.completions.is_empty()
     }
 
-    /// Answer to a renewal; the worker's clock has no offset.
-    pub fn listing(&self, now_ms: u64) -> RenewOutcome {
+    /// Result of a renewal; the worker's clock has no offset.
+    pub fn renew_outcome(&self, now_ms: u64) -> RenewOutcome {
         RenewOutcome::Renewed {
             clock_ms: now_ms,
             running: self.runs.clone(),
-            completions: self.ended.iter().cloned().collect(),
+            completions: self.completions.iter().cloned().collect(),
         }
     }
 }
