--- a/crates/fakes/src/bin/trefoil-check.rs
+++ b/crates/fakes/src/bin/trefoil-check.rs
@@ -1,4 +1,4 @@
-//! Checks histories of callers against the starts of backend servers.
+//! Checks request histories against the task starts of backend servers.
 
 use std::{error::Error, path::PathBuf, process::ExitCode};
 
@@ -8,7 +8,7 @@
     history::{read_history, read_starts},
 };
 
-/// Most violations printed; the rest are counted.
+/// Maximum number of violations printed; all are counted.
 const PRINTED_MAX: usize = 200;
 
 fn files_arg(name: &'static str, help: &'static str) -> Arg {
@@ -24,9 +24,12 @@
 
 fn command() -> Command {
     Command::new("trefoil-check")
-        .about("checks histories of callers against the starts of backend servers")
-        .arg(files_arg("starts", "answers of GET /fake/starts"))
-        .arg(files_arg("histories", "files of trefoil-load --history"))
+        .about("checks request histories against the task starts of backend servers")
+        .arg(files_arg("starts", "responses of GET /fake/starts"))
+        .arg(files_arg(
+            "histories",
+            "files written by trefoil-load --history",
+        ))
 }
 
 fn read_all<T>(
@@ -43,7 +46,7 @@
     Ok(all)
 }
 
-fn print(report: &CheckReport) {
+fn print_report(report: &CheckReport) {
     println!("requests    {}", report.requests);
     println!("keys        {}", report.keys);
     println!("starts      {}", report.starts);
@@ -60,7 +63,7 @@
     let starts = read_all(&matches, "starts", read_starts)?;
     let requests = read_all(&matches, "histories", read_history)?;
     let report = check(&requests, &starts);
-    print(&report);
+    print_report(&report);
     match report.violations.is_empty() {
         true => Ok(ExitCode::SUCCESS),
         false => Ok(ExitCode::FAILURE),
--- a/crates/fakes/src/bin/trefoil-fake-platform.rs
+++ b/crates/fakes/src/bin/trefoil-fake-platform.rs
@@ -1,4 +1,4 @@
-//! Serves the stand-in for the platform's key-value service.
+//! Serves the fake of the platform's key-value service.
 
 use std::{error::Error, net::SocketAddr};
 
@@ -7,7 +7,7 @@
 
 fn command() -> Command {
     Command::new("trefoil-fake-platform")
-        .about("stand-in for the platform's key-value service")
+        .about("fake of the platform's key-value service")
         .arg(
             Arg::new("listen")
                 .long("listen")
@@ -18,14 +18,14 @@
         .arg(
             Arg::new("sync-ms")
                 .long("sync-ms")
-                .help("time that a synced write takes, in milliseconds")
+                .help("time that it takes to sync a write, in milliseconds")
                 .value_parser(value_parser!(u64))
                 .default_value("3"),
         )
         .arg(
             Arg::new("omit-defaults")
                 .long("omit-defaults")
-                .help("leave fields of default value out of answers, as etcd itself does")
+                .help("omit fields with default values from responses, as etcd does")
                 .action(ArgAction::SetTrue),
         )
 }
@@ -33,9 +33,9 @@
 #[tokio::main]
 async fn main() -> Result<(), Box<dyn Error>> {
     let matches = command().get_matches();
-    let listen: SocketAddr = *matches.get_one("listen").ok_or("no address to listen on")?;
+    let listen: SocketAddr = *matches.get_one("listen").ok_or("--listen is missing")?;
     let options = PlatformOptions {
-        sync_ms: *matches.get_one("sync-ms").ok_or("no sync time")?,
+        sync_ms: *matches.get_one("sync-ms").ok_or("--sync-ms is missing")?,
         omit_defaults: matches.get_flag("omit-defaults"),
         ..PlatformOptions::default()
     };
--- a/crates/fakes/src/bin/trefoil-fake-relay.rs
+++ b/crates/fakes/src/bin/trefoil-fake-relay.rs
@@ -1,4 +1,4 @@
-//! Relays TCP connections until told to cut them.
+//! Relays TCP connections and injects link faults.
 
 use std::{error::Error, net::SocketAddr};
 
@@ -15,17 +15,20 @@
 
 fn command() -> Command {
     Command::new("trefoil-fake-relay")
-        .about("a TCP relay that can be cut and restored")
-        .arg(address_arg("listen", "address relayed from").required(true))
-        .arg(address_arg("to", "address relayed to").required(true))
-        .arg(address_arg("control", "address of orders, POST /fake/cut"))
+        .about("a TCP relay that injects link faults")
+        .arg(address_arg("listen", "address to listen on").required(true))
+        .arg(address_arg("to", "address to relay connections to").required(true))
+        .arg(address_arg(
+            "control",
+            "address of the HTTP control endpoint, POST /fake/cut",
+        ))
 }
 
 #[tokio::main]
 async fn main() -> Result<(), Box<dyn Error>> {
     let matches = command().get_matches();
-    let listen: SocketAddr = *matches.get_one("listen").ok_or("no address to listen on")?;
-    let to: SocketAddr = *matches.get_one("to").ok_or("no address to relay to")?;
+    let listen: SocketAddr = *matches.get_one("listen").ok_or("--listen is missing")?;
+    let to: SocketAddr = *matches.get_one("to").ok_or("--to is missing")?;
     let control = matches.get_one("control").copied();
     let mut relay = relay::start(listen, to, control)
         .await
--- a/crates/fakes/src/bin/trefoil-fake-worker.rs
+++ b/crates/fakes/src/bin/trefoil-fake-worker.rs
@@ -1,4 +1,4 @@
-//! Serves stand-ins for backend servers on consecutive ports.
+//! Serves fake backend servers on consecutive ports.
 
 use std::{error::Error, net::SocketAddr};
 
@@ -7,7 +7,7 @@
 
 fn command() -> Command {
     Command::new("trefoil-fake-worker")
-        .about("stand-ins for backend servers, on consecutive ports")
+        .about("fake backend servers on consecutive ports")
         .arg(
             Arg::new("listen")
                 .long("listen")
@@ -25,7 +25,7 @@
         .arg(
             Arg::new("slots")
                 .long("slots")
-                .help("tasks that run at once at each")
+                .help("tasks that each backend server runs concurrently")
                 .value_parser(value_parser!(usize))
                 .default_value("8"),
         )
@@ -33,7 +33,7 @@
             Arg::new("faults")
                 .long("faults")
                 .value_name("JSON")
-                .help("faults of all of them from the start")
+                .help("initial faults of all backend servers")
                 .default_value("{}"),
         )
 }
@@ -41,17 +41,17 @@
 #[tokio::main]
 async fn main() -> Result<(), Box<dyn Error>> {
     let matches = command().get_matches();
-    let listen: SocketAddr = *matches.get_one("listen").ok_or("no address to listen on")?;
-    let faults: &String = matches.get_one("faults").ok_or("no faults")?;
+    let listen: SocketAddr = *matches.get_one("listen").ok_or("--listen is missing")?;
+    let faults: &String = matches.get_one("faults").ok_or("--faults is missing")?;
     let options = WorkerOptions {
-        count: *matches.get_one("count").ok_or("no count")?,
-        slots: *matches.get_one("slots").ok_or("no slots")?,
+        count: *matches.get_one("count").ok_or("--count is missing")?,
+        slots: *matches.get_one("slots").ok_or("--slots is missing")?,
         faults: serde_json::from_str(faults)
-            .map_err(|error| format!("cannot read --faults: {error}"))?,
+            .map_err(|error| format!("invalid --faults: {error}"))?,
     };
     let mut workers = worker::start(listen, options)
         .await
-        .map_err(|error| format!("cannot listen on {listen} and after: {error}"))?;
+        .map_err(|error| format!("cannot listen on {listen} and the following ports: {error}"))?;
     for address in &workers.addresses {
         println!("{address}");
     }
--- a/crates/fakes/src/bin/trefoil-load/args.rs
+++ b/crates/fakes/src/bin/trefoil-load/args.rs
@@ -1,17 +1,16 @@
-//! Arguments of the load tool.
+//! Command line of the load generator.
 
 use std::{net::SocketAddr, path::PathBuf};
 
 use clap::{Arg, ArgAction, ArgMatches, Command, value_parser};
-use trefoil_fakes::load::{Bursts, KeyKind, LoadOptions, Policy, law::Law};
+use trefoil_fakes::load::{Bursts, KeyKind, LoadOptions, Policy, distribution::Distribution};
 
-/// Submissions after a refusal where Retry-After is obeyed and no number given.
-const OBEDIENT_ASK_AGAIN_MAX: usize = 5;
+/// Default of `--ask-again` with `--obey-retry-after`.
+const DEFAULT_RETRIES_MAX: usize = 5;
 
-/// The command line.
 pub fn command() -> Command {
     Command::new("trefoil-load")
-        .about("a bounded open-loop load tool")
+        .about("an open-loop load generator")
         .args(targets())
         .args(jobs())
         .args(callers())
@@ -23,92 +22,113 @@
         Arg::new("entries")
             .long("entries")
             .value_name("IP:PORT,...")
-            .help("entry instances, taken in turn; IP:PORT+N stands for N consecutive ports")
-            .value_parser(addresses)
+            .help("entry instances, used in turn; IP:PORT+N stands for N consecutive ports")
+            .value_parser(parse_addresses)
             .required_unless_present("direct"),
         Arg::new("direct")
             .long("direct")
             .value_name("IP:PORT,...")
-            .help("baseline without entry instances: tasks go to these backend servers")
-            .value_parser(addresses)
+            .help("baseline without entry instances: send tasks to these backend servers")
+            .value_parser(parse_addresses)
             .conflicts_with("entries"),
         Arg::new("policy")
             .long("policy")
-            .help("how a baseline picks a backend server")
+            .help("how baseline dispatchers choose a backend server")
             .value_parser(["random", "two-choices"])
             .default_value("random"),
-        number("dispatchers", "8", "dispatchers of a baseline").value_parser(value_parser!(usize)),
+        arg_with_default("dispatchers", "8", "number of baseline dispatchers")
+            .value_parser(value_parser!(usize)),
         Arg::new("worker-counters")
             .long("worker-counters")
             .value_name("IP:PORT,...")
-            .help("one address of each process of backend servers")
-            .value_parser(addresses),
+            .help("one address of each process of fake backend servers, to read its counters")
+            .value_parser(parse_addresses),
     ]
 }
 
 fn jobs() -> [Arg; 8] {
-    let law = |text: &str| text.parse::<Law>();
+    let distribution = |text: &str| text.parse::<Distribution>();
     [
-        number("service", "default", "service of the jobs").value_parser(value_parser!(String)),
-        number("teams", "default", "teams of the jobs, with commas")
+        arg_with_default("service", "default", "service of the jobs")
+            .value_parser(value_parser!(String)),
+        arg_with_default("teams", "default", "teams of the jobs, separated by commas")
             .value_parser(value_parser!(String)),
-        number("rate", "10", "jobs a second").value_parser(value_parser!(f64)),
-        number("tasks", "1", "law of tasks in a job").value_parser(law),
-        number("run-time", "100", "law of run times, in milliseconds").value_parser(law),
-        number(
+        arg_with_default("rate", "10", "arrival rate, in jobs per second")
+            .value_parser(value_parser!(f64)),
+        arg_with_default("tasks", "1", "distribution of the number of tasks per job")
+            .value_parser(distribution),
+        arg_with_default(
+            "run-time",
+            "100",
+            "distribution of run times, in milliseconds",
+        )
+        .value_parser(distribution),
+        arg_with_default(
             "declared-factor",
             "0",
-            "declared run time over the true one; 0 declares none",
+            "declared run time as a multiple of the actual one; 0 to declare none",
         )
         .value_parser(value_parser!(f64)),
-        number("duration-ms", "5000", "time of arrivals").value_parser(value_parser!(u64)),
+        arg_with_default("duration-ms", "5000", "time during which jobs are sent")
+            .value_parser(value_parser!(u64)),
         Arg::new("bursts")
             .long("bursts")
             .value_name("FACTOR:EVERY_MS:FOR_MS")
-            .help("times of a higher rate")
-            .value_parser(bursts),
+            .help("periodic bursts of a higher arrival rate")
+            .value_parser(parse_bursts),
     ]
 }
 
 fn callers() -> [Arg; 11] {
     [
-        number(
+        arg_with_default(
             "reuse-percent",
             "0",
-            "share of keys used for another body elsewhere",
+            "percentage of keys reused for another body at another entry instance",
         )
         .value_parser(value_parser!(f64)),
-        number(
+        arg_with_default(
             "resubmit-percent",
             "0",
-            "share of jobs submitted again elsewhere",
+            "percentage of jobs resubmitted at another entry instance",
+        )
+        .value_parser(value_parser!(f64)),
+        arg_with_default(
+            "cancel-percent",
+            "0",
+            "percentage of jobs that are cancelled",
         )
         .value_parser(value_parser!(f64)),
-        number("cancel-percent", "0", "share of jobs cancelled").value_parser(value_parser!(f64)),
-        number(
+        arg_with_default(
             "deadline-ms",
             "0",
-            "time allowed for a job; 0 leaves it to the entry",
+            "deadline of jobs after their submission; 0 for the entry's default",
         )
         .value_parser(value_parser!(u64)),
         Arg::new("obey-retry-after")
             .long("obey-retry-after")
-            .help("submit again after the time that a refusal names")
+            .help("retry after the delay that a refusal asks for")
             .action(ArgAction::SetTrue),
         Arg::new("ask-again")
             .long("ask-again")
-            .help("most submissions after a refusal with a time or a lost answer")
+            .help("maximum number of retries after a refusal with a delay or a lost response")
             .value_parser(value_parser!(usize)),
-        number("seed", "1", "seed of the plan").value_parser(value_parser!(u64)),
-        number("key-kind", "uuid7", "who makes the keys").value_parser(["uuid7", "minted"]),
+        arg_with_default("seed", "1", "seed of the plan").value_parser(value_parser!(u64)),
+        arg_with_default("key-kind", "uuid7", "how idempotency keys are created")
+            .value_parser(["uuid7", "minted"]),
         Arg::new("mint-at")
             .long("mint-at")
             .value_name("IP:PORT,...")
-            .help("entry instances that mint the keys, in place of --entries")
-            .value_parser(addresses),
-        number("path-ms", "0", "path time that the ideal includes")
-            .value_parser(value_parser!(f64)),
-        number("in-flight-max", "20000", "most jobs in flight").value_parser(value_parser!(usize)),
+            .help("entry instances that mint the keys [default: those of --entries]")
+            .value_parser(parse_addresses),
+        arg_with_default(
+            "path-ms",
+            "0",
+            "network time that is part of the ideal response time",
+        )
+        .value_parser(value_parser!(f64)),
+        arg_with_default("in-flight-max", "20000", "maximum number of jobs in flight")
+            .value_parser(value_parser!(usize)),
     ]
 }
 
@@ -117,7 +137,7 @@
         Arg::new("json")
             .long("json")
             .value_name("FILE")
-            .help("write the figures as JSON")
+            .help("write the report as JSON")
             .value_parser(value_parser!(PathBuf)),
         Arg::new("history")
             .long("history")
@@ -127,29 +147,29 @@
     ]
 }
 
-fn number(name: &'static str, default: &'static str, help: &'static str) -> Arg {
+fn arg_with_default(name: &'static str, default: &'static str, help: &'static str) -> Arg {
     Arg::new(name).long(name).help(help).default_value(default)
 }
 
-/// Addresses with commas; `IP:PORT+N` stands for N consecutive ports.
-fn addresses(text: &str) -> Result<Vec<SocketAddr>, String> {
-    let ranges: Result<Vec<_>, _> = text.split(',').map(range).collect();
+/// Parses addresses separated by commas; `IP:PORT+N` stands for N consecutive ports.
+fn parse_addresses(text: &str) -> Result<Vec<SocketAddr>, String> {
+    let ranges: Result<Vec<_>, _> = text.split(',').map(parse_port_range).collect();
     Ok(ranges?.concat())
 }
 
-fn range(text: &str) -> Result<Vec<SocketAddr>, String> {
+fn parse_port_range(text: &str) -> Result<Vec<SocketAddr>, String> {
     let (first, count) = text.split_once('+').unwrap_or((text, "1"));
-    let wrong = || format!("{text:?} is no address; try 127.0.0.1:9000 or 127.0.0.1:9000+8");
-    let first: SocketAddr = first.parse().map_err(|_| wrong())?;
-    let count: u16 = count.parse().map_err(|_| wrong())?;
-    let last = first.port().checked_add(count).ok_or_else(wrong)?;
+    let error = || format!("invalid address {text:?}; try 127.0.0.1:9000 or 127.0.0.1:9000+8");
+    let first: SocketAddr = first.parse().map_err(|_| error())?;
+    let count: u16 = count.parse().map_err(|_| error())?;
+    let last = first.port().checked_add(count).ok_or_else(error)?;
     let ports = first.port()..last;
     Ok(ports
         .map(|port| SocketAddr::new(first.ip(), port))
         .collect())
 }
 
-fn bursts(text: &str) -> Result<Bursts, String> {
+fn parse_bursts(text: &str) -> Result<Bursts, String> {
     let numbers: Vec<f64> = text
         .split(':')
         .filter_map(|number| number.parse().ok())
@@ -164,7 +184,7 @@
     }
 }
 
-/// What the arguments ask for.
+/// Options from the command line.
 pub fn options(matches: &ArgMatches) -> LoadOptions {
     let default = LoadOptions::default();
     let text = |name| get::<String>(matches, name).unwrap_or_default();
@@ -190,7 +210,7 @@
         cancel_percent: get(matches, "cancel-percent").unwrap_or_default(),
         deadline_ms: get(matches, "deadline-ms").unwrap_or_default(),
         obey_retry_after: matches.get_flag("obey-retry-after"),
-        ask_again_max: ask_again_max(matches),
+        retries_max: retries_max(matches),
         seed: get(matches, "seed").unwrap_or(default.seed),
         key_kind: match text("key-kind").as_str() {
             "minted" => KeyKind::Minted,
@@ -203,10 +223,9 @@
     }
 }
 
-/// None are made where nothing asks for them.
-fn ask_again_max(matches: &ArgMatches) -> usize {
+fn retries_max(matches: &ArgMatches) -> usize {
     let default = match matches.get_flag("obey-retry-after") {
-        true => OBEDIENT_ASK_AGAIN_MAX,
+        true => DEFAULT_RETRIES_MAX,
         false => 0,
     };
     get(matches, "ask-again").unwrap_or(default)
--- a/crates/fakes/src/bin/trefoil-load/main.rs
+++ b/crates/fakes/src/bin/trefoil-load/main.rs
@@ -1,4 +1,4 @@
-//! Sends jobs by plan and measures their answers.
+//! Sends jobs by plan and measures their responses.
 
 mod args;
 
@@ -16,7 +16,7 @@
     load::{self, LoadReport, table::Table},
 };
 
-/// Figures with the arguments that gave them.
+/// Report of a run, with its arguments.
 #[derive(Debug, Serialize)]
 struct Output<'a> {
     arguments: Vec<String>,
@@ -33,7 +33,7 @@
     file.flush()
 }
 
-fn cannot_write(path: &Path, error: &dyn Error) -> String {
+fn write_error(path: &Path, error: &dyn Error) -> String {
     format!("cannot write {}: {error}", path.display())
 }
 
@@ -47,10 +47,10 @@
             report: &report,
         };
         let text = serde_json::to_string_pretty(&output)?;
-        fs::write(path, text).map_err(|error| cannot_write(path, &error))?;
+        fs::write(path, text).map_err(|error| write_error(path, &error))?;
     }
     if let Some(path) = matches.get_one::<PathBuf>("history") {
-        write_history(path, &history).map_err(|error| cannot_write(path, &error))?;
+        write_history(path, &history).map_err(|error| write_error(path, &error))?;
     }
     write!(io::stdout(), "{}", Table(&report))?;
     Ok(())
--- a/crates/fakes/src/check.rs
+++ b/crates/fakes/src/check.rs
@@ -1,11 +1,9 @@
-//! Checker of histories: reads what callers sent and got and what backend
-//! servers started, and names every promise broken. It knows nothing of what
-//! stands between the two.
+//! Checks the histories of callers' requests against the task starts of backend servers, and
+//! reports every violation of the service's guarantees.
 //!
-//! A "not run" answer is false in either of two cases. A task of its key had
-//! started before the request was sent. Or tasks of its key started at any
-//! time, and no other submission of the key ended after it with another
-//! verdict: "not run" was then the last that the caller heard.
+//! A `not_run` verdict is false if a task of its key started before the request was sent. It is
+//! also false if a task of its key started at any time and no other submission of the key ended
+//! later with another verdict, because `not_run` was then the caller's last information.
 
 pub mod history;
 mod violation;
@@ -18,46 +16,46 @@
 use history::{HistoryEntry, RequestKind, UNREACHABLE};
 pub use violation::Violation;
 
-/// Difference allowed between the clocks of callers and backend servers.
+/// Allowed clock skew between callers and backend servers.
 const CLOCK_BOUND_MS: f64 = 2.0;
 const NOT_RUN: &str = "not_run";
 const COMPLETE: &str = "complete";
-/// Refusal of a body, not of the key: the key's own tasks may well run.
+/// Reason of a refusal of another body with a used key; the tasks of the first body may run.
 const KEY_REUSED: &str = "key_reused";
 
-/// What a check found.
+/// Result of a check.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct CheckReport {
-    /// Requests read.
+    /// Number of requests.
     pub requests: usize,
-    /// Starts read.
+    /// Number of task starts.
     pub starts: usize,
-    /// Distinct keys in the requests.
+    /// Number of distinct keys in the requests.
     pub keys: usize,
-    /// Complete answers checked.
+    /// Number of responses with state `complete`.
     pub complete: usize,
-    /// Answers that said "not run".
+    /// Number of responses with verdict `not_run`.
     pub not_run: usize,
-    /// Promises broken, in order.
+    /// Violations, sorted.
     pub violations: Vec<Violation>,
 }
 
-/// All that is known of one key.
+/// Requests and task starts of one key.
 #[derive(Debug, Default)]
 struct KeyHistory<'a> {
     requests: Vec<&'a HistoryEntry>,
     starts: Vec<(u32, &'a TaskStart)>,
 }
 
-/// Checks requests against starts.
+/// Checks requests against task starts.
 pub fn check(requests: &[HistoryEntry], starts: &[TaskStart]) -> CheckReport {
     let mut violations = Vec::new();
-    let keys = by_key(requests, starts, &mut violations);
+    let keys = group_by_key(requests, starts, &mut violations);
     for (key, history) in &keys {
         violations.extend(double_starts(key, history));
         violations.extend(false_not_run(history));
-        violations.extend(bad_answers(history));
-        violations.extend(two_answers(history));
+        violations.extend(bad_results(history));
+        violations.extend(conflicting_answers(history));
     }
     violations.sort();
     CheckReport {
@@ -73,7 +71,7 @@
     }
 }
 
-fn by_key<'a>(
+fn group_by_key<'a>(
     requests: &'a [HistoryEntry],
     starts: &'a [TaskStart],
     violations: &mut Vec<Violation>,
@@ -83,7 +81,7 @@
         keys.entry(&request.key).or_default().requests.push(request);
     }
     for start in starts {
-        match task_of(&start.task) {
+        match parse_task(&start.task) {
             Some((key, index)) => keys.entry(key).or_default().starts.push((index, start)),
             None => violations.push(Violation::UnnamedStart {
                 worker: start.worker.clone(),
@@ -94,8 +92,8 @@
     keys
 }
 
-/// Key and index out of `KEY/INDEX/ATTEMPT`; the key itself may hold slashes.
-fn task_of(task: &str) -> Option<(&str, u32)> {
+/// Parses key and index from `KEY/INDEX/ATTEMPT`; the key may contain slashes.
+fn parse_task(task: &str) -> Option<(&str, u32)> {
     let mut parts = task.rsplitn(3, '/');
     let _attempt = parts.next()?;
     let index = parts.next()?.parse().ok()?;
@@ -124,7 +122,7 @@
         .iter()
         .filter(|entry| entry.verdict == NOT_RUN)
         .filter_map(|entry| {
-            let starts = starts_against(history, entry);
+            let starts = contradicting_starts(history, entry);
             (starts > 0).then(|| Violation::FalseNotRun {
                 key: entry.key.clone(),
                 entry: entry.entry.clone(),
@@ -136,35 +134,36 @@
         .collect()
 }
 
-/// Starts that show a "not run" answer false.
-fn starts_against(history: &KeyHistory<'_>, refused: &HistoryEntry) -> usize {
+/// Number of starts that contradict a `not_run` verdict.
+fn contradicting_starts(history: &KeyHistory<'_>, refused: &HistoryEntry) -> usize {
     let starts = history.starts.iter().map(|(_, start)| start);
     if refused.reason == KEY_REUSED {
         return starts
-            .filter(|start| is_only_of(history, refused, start))
+            .filter(|start| is_of_refused_body(history, refused, start))
             .count();
     }
-    let earlier = |start: &&&TaskStart| (start.wall_ms as f64) + CLOCK_BOUND_MS < refused.sent_ms;
-    match has_later_word(history, refused) {
-        true => starts.filter(earlier).count(),
+    let is_earlier =
+        |start: &&&TaskStart| (start.wall_ms as f64) + CLOCK_BOUND_MS < refused.sent_ms;
+    match has_later_verdict(history, refused) {
+        true => starts.filter(is_earlier).count(),
         false => starts.count(),
     }
 }
 
-/// Whether a start is of a body that only the refused kind of request sent.
-fn is_only_of(history: &KeyHistory<'_>, refused: &HistoryEntry, start: &TaskStart) -> bool {
+/// Whether a start is of a body that was sent only in requests refused as `key_reused`.
+fn is_of_refused_body(history: &KeyHistory<'_>, refused: &HistoryEntry, start: &TaskStart) -> bool {
     let Some(token) = &start.token else {
         return false;
     };
-    let sent_otherwise = history
+    let is_of_other_body = history
         .requests
         .iter()
         .filter(|entry| entry.reason != KEY_REUSED)
         .any(|entry| entry.tokens.contains(token));
-    refused.tokens.contains(token) && !sent_otherwise
+    refused.tokens.contains(token) && !is_of_other_body
 }
 
-fn has_later_word(history: &KeyHistory<'_>, refused: &HistoryEntry) -> bool {
+fn has_later_verdict(history: &KeyHistory<'_>, refused: &HistoryEntry) -> bool {
     history
         .requests
         .iter()
@@ -178,26 +177,26 @@
     entry.state == COMPLETE
 }
 
-fn bad_answers(history: &KeyHistory<'_>) -> Vec<Violation> {
+fn bad_results(history: &KeyHistory<'_>) -> Vec<Violation> {
     history
         .requests
         .iter()
         .flat_map(|entry| match is_complete(entry) {
-            true => bad_results(history, entry),
-            false => leaked_results(entry),
+            true => bad_complete_results(history, entry),
+            false => unexpected_results(entry),
         })
         .collect()
 }
 
-fn leaked_results(entry: &HistoryEntry) -> Vec<Violation> {
+fn unexpected_results(entry: &HistoryEntry) -> Vec<Violation> {
     match entry.results.is_empty() {
         true => Vec::new(),
-        false => vec![partial(entry)],
+        false => vec![partial_results(entry)],
     }
 }
 
-fn partial(entry: &HistoryEntry) -> Violation {
-    Violation::Partial {
+fn partial_results(entry: &HistoryEntry) -> Violation {
+    Violation::PartialResults {
         key: entry.key.clone(),
         entry: entry.entry.clone(),
         state: entry.state.clone(),
@@ -206,9 +205,9 @@
     }
 }
 
-fn bad_results(history: &KeyHistory<'_>, entry: &HistoryEntry) -> Vec<Violation> {
+fn bad_complete_results(history: &KeyHistory<'_>, entry: &HistoryEntry) -> Vec<Violation> {
     if entry.results.len() != entry.tokens.len() {
-        return vec![partial(entry)];
+        return vec![partial_results(entry)];
     }
     let started: BTreeSet<_> = history.starts.iter().map(|(index, _)| *index).collect();
     entry
@@ -229,7 +228,7 @@
 ) -> Option<Violation> {
     let got = token_of(result);
     if got != Some(sent) {
-        return Some(Violation::Crossed {
+        return Some(Violation::WrongResult {
             key: entry.key.clone(),
             entry: entry.entry.clone(),
             index,
@@ -245,16 +244,16 @@
     })
 }
 
-/// The token that a backend server echoed: `{"worker", "result": {"token"}}`.
+/// Token in a result, which is `{"worker": ..., "result": {"token": ...}}`.
 fn token_of(result: &Value) -> Option<&str> {
     result["result"]["token"].as_str()
 }
 
-fn two_answers(history: &KeyHistory<'_>) -> Option<Violation> {
+fn conflicting_answers(history: &KeyHistory<'_>) -> Option<Violation> {
     let mut complete = history.requests.iter().filter(|entry| is_complete(entry));
     let first = complete.next()?;
     let second = complete.find(|entry| entry.results != first.results)?;
-    Some(Violation::TwoAnswers {
+    Some(Violation::ConflictingAnswers {
         key: first.key.clone(),
         first_entry: first.entry.clone(),
         second_entry: second.entry.clone(),
--- a/crates/fakes/src/check/history.rs
+++ b/crates/fakes/src/check/history.rs
@@ -1,4 +1,4 @@
-//! What callers sent and got, one JSON line a request.
+//! Histories of requests, stored as one line of JSON per request.
 
 use std::{
     fs::File,
@@ -11,54 +11,51 @@
 
 use crate::worker::record::TaskStart;
 
-/// Reason that the caller's side gives where no connection could be made:
-/// nothing was sent.
+/// Reason recorded by the client if no connection could be made; nothing was sent.
 pub const UNREACHABLE: &str = "unreachable";
 
-/// What a request asked for.
+/// Kind of a request.
+#[expect(missing_docs, reason = "the variants explain themselves")]
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum RequestKind {
-    /// Submit a job.
     #[default]
     Submit,
-    /// Read a job.
     Fetch,
-    /// Cancel a job.
     Cancel,
 }
 
-/// One request as its caller saw it.
+/// A request and its response, as recorded by the caller.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct HistoryEntry {
-    /// What it asked for.
+    /// Kind of the request.
     pub kind: RequestKind,
     /// Idempotency key.
     pub key: String,
-    /// Hash of the body, in hexadecimal.
+    /// Hash of the request body, in hexadecimal.
     pub body_hash: String,
-    /// Where it was sent.
+    /// Address that it was sent to.
     pub entry: String,
-    /// Unix time of sending, in milliseconds.
+    /// Unix time of the request, in milliseconds.
     pub sent_ms: f64,
-    /// Unix time of the answer or of the connection's end, in milliseconds.
+    /// Unix time of the response or of the connection's end, in milliseconds.
     pub answered_ms: f64,
-    /// Status; 0 where there was no answer.
+    /// HTTP status; 0 without a response.
     pub status: u16,
-    /// Verdict answered; empty where there was none.
+    /// Verdict of the response; empty if it has none.
     pub verdict: String,
-    /// Reason of a refusal or failure.
+    /// Reason of a refusal or failure; may be set by the client.
     pub reason: String,
-    /// State of the job as answered.
+    /// State of the job in the response.
     pub state: String,
-    /// Tokens of the tasks sent, in order; each is unique to its task.
+    /// Unique tokens of the submitted tasks, in order.
     pub tokens: Vec<String>,
-    /// Results answered, in order.
+    /// Results in the response, in order.
     pub results: Vec<Value>,
 }
 
-/// Reads a history of JSON lines.
+/// Reads a history file.
 pub fn read_history(path: &Path) -> io::Result<Vec<HistoryEntry>> {
     let lines = BufReader::new(File::open(path)?).lines();
     lines
@@ -66,7 +63,7 @@
         .collect()
 }
 
-/// Reads starts as backend servers answer them: a JSON array.
+/// Reads a file with the response of a fake backend server's `GET /fake/starts`.
 pub fn read_starts(path: &Path) -> io::Result<Vec<TaskStart>> {
     let reader = BufReader::new(File::open(path)?);
     Ok(serde_json::from_reader(reader)?)
--- a/crates/fakes/src/check/violation.rs
+++ b/crates/fakes/src/check/violation.rs
@@ -1,8 +1,8 @@
-//! Promises that a history shows broken.
+//! Violations of the service's guarantees.
 
 use derive_more::Display;
 
-/// One broken promise.
+/// A violation of the service's guarantees.
 #[derive(Clone, Debug, Display, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Violation {
     /// A task started more than once.
@@ -12,77 +12,77 @@
         key: String,
         /// Index of the task.
         index: u32,
-        /// Starts counted.
+        /// Number of starts.
         starts: usize,
     },
-    /// A start did not say which task it was.
+    /// A start whose task header has an unknown format.
     #[display("unnamed start: {worker} started a task named {task:?}")]
     UnnamedStart {
-        /// Backend server.
+        /// Address of the backend server.
         worker: String,
-        /// What stood in its header.
+        /// Value of the task header.
         task: String,
     },
-    /// A request was answered "not run", and tasks of its key did run.
-    #[display("false not_run: {key} at {entry} (status {status}, {reason}), yet {starts} starts")]
+    /// A request got the verdict `not_run`, but tasks of its key were started.
+    #[display("false not_run: {key} at {entry} (status {status}, {reason}), but {starts} starts")]
     FalseNotRun {
         /// Key of the job.
         key: String,
-        /// Where the request was sent.
+        /// Address that the request was sent to.
         entry: String,
-        /// Status of the answer.
+        /// HTTP status of the response.
         status: u16,
-        /// Reason in the answer.
+        /// Reason in the response.
         reason: String,
-        /// Starts that show it false.
+        /// Number of starts that contradict the verdict.
         starts: usize,
     },
-    /// A complete answer lacks results, or another answer has some.
-    #[display("partial: {key} at {entry} is {state} with {results} of {tasks} results")]
-    Partial {
+    /// A complete job lacks results, or another response has some.
+    #[display("partial results: {key} at {entry} is {state} with {results} of {tasks} results")]
+    PartialResults {
         /// Key of the job.
         key: String,
-        /// Where the request was sent.
+        /// Address that the request was sent to.
         entry: String,
-        /// State answered.
+        /// State of the job in the response.
         state: String,
-        /// Results answered.
+        /// Number of results.
         results: usize,
-        /// Tasks sent.
+        /// Number of submitted tasks.
         tasks: usize,
     },
-    /// A result is not that of the caller's own task.
-    #[display("crossed: task {index} of {key} at {entry} sent {sent} and got {got}")]
-    Crossed {
+    /// A result belongs to another task.
+    #[display("wrong result: task {index} of {key} at {entry} sent {sent} and got {got}")]
+    WrongResult {
         /// Key of the job.
         key: String,
-        /// Where the request was sent.
+        /// Address that the request was sent to.
         entry: String,
         /// Index of the task.
         index: usize,
-        /// Token sent.
+        /// Token of the submitted task.
         sent: String,
-        /// Token answered.
+        /// Token in the result.
         got: String,
     },
-    /// A complete answer has a result of a task that never started.
+    /// A complete job has a result of a task that was never started.
     #[display("result without start: task {index} of {key} at {entry}")]
     ResultWithoutStart {
         /// Key of the job.
         key: String,
-        /// Where the request was sent.
+        /// Address that the request was sent to.
         entry: String,
         /// Index of the task.
         index: usize,
     },
-    /// One key got two complete answers that differ.
-    #[display("two answers: {key} at {first_entry} and at {second_entry} differ")]
-    TwoAnswers {
+    /// Two complete responses for one key have different results.
+    #[display("conflicting answers: {key} at {first_entry} and at {second_entry} differ")]
+    ConflictingAnswers {
         /// Key of the job.
         key: String,
-        /// Where the first was got.
+        /// Address that sent the first response.
         first_entry: String,
-        /// Where the second was got.
+        /// Address that sent the second response.
         second_entry: String,
     },
 }
--- a/crates/fakes/src/load.rs
+++ b/crates/fakes/src/load.rs
@@ -1,10 +1,10 @@
-//! A bounded open-loop load tool: jobs arrive by plan, whatever became of the
-//! earlier ones, and the run ends by itself.
+//! An open-loop load generator: jobs are sent at planned times, regardless of earlier ones, until
+//! the planned duration is over.
 
 mod direct;
+pub mod distribution;
 mod entries;
 mod job;
-pub mod law;
 pub mod plan;
 mod stats;
 pub mod table;
@@ -24,92 +24,92 @@
 use crate::{check::history::HistoryEntry, client::Client};
 use direct::Dispatcher;
 pub use direct::Policy;
-use law::Law;
+use distribution::Distribution;
 use plan::{JobPlan, Plan};
 pub use stats::{LoadReport, Summary};
 use stats::{RunTimes, Stats};
-use waste::Reading;
+use waste::CounterSnapshot;
 pub use waste::Waste;
 
-/// Time that the last jobs have beyond their deadline before they are cut off.
+/// Time after their deadline before outstanding jobs are cut off.
 const DRAIN_MS: u64 = 5_000;
-/// The same where no deadline is asked for.
+/// Time before outstanding jobs without a deadline are cut off.
 const DRAIN_WITHOUT_DEADLINE_MS: u64 = 30_000;
 
-/// Who makes the keys.
+/// How idempotency keys are created.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum KeyKind {
-    /// The caller: UUIDs of version 7.
+    /// By the caller, as UUIDs of version 7.
     #[default]
     Uuid7,
-    /// The entries, before the run starts.
+    /// By an entry instance, just before the job is sent.
     Minted,
 }
 
-/// Times of a higher rate.
+/// Periodic bursts of a higher arrival rate.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Bursts {
-    /// Rate during a burst, as a multiple of the usual one.
+    /// Factor on the rate during a burst.
     pub factor: f64,
-    /// Time from one burst's start to the next, in milliseconds.
+    /// Interval between the starts of bursts, in milliseconds.
     pub every_ms: f64,
     /// Length of a burst, in milliseconds.
     pub for_ms: f64,
 }
 
-/// What to send.
+/// Options of a load run.
 #[derive(Clone, Debug)]
 pub struct LoadOptions {
-    /// Entry instances, taken in turn as the balancer does.
+    /// Entry instances, used in turn as by a round-robin load balancer.
     pub entries: Vec<SocketAddr>,
-    /// Backend servers of a baseline without entry instances; empty for none.
+    /// Backend servers of a baseline run without entry instances; empty for a normal run.
     pub direct: Vec<SocketAddr>,
-    /// How a baseline picks a backend server.
+    /// How baseline dispatchers choose a backend server.
     pub policy: Policy,
-    /// Dispatchers of a baseline, which know nothing of each other.
+    /// Number of baseline dispatchers, which share no state.
     pub dispatchers: usize,
-    /// One address of each process of backend servers, for its counters.
+    /// One address of each process of fake backend servers, to read its counters.
     pub worker_counters: Vec<SocketAddr>,
     /// Service of the jobs.
     pub service: String,
-    /// Teams of the jobs, at random.
+    /// Teams of the jobs, chosen at random.
     pub teams: Vec<String>,
-    /// Jobs a second.
+    /// Arrival rate outside of bursts, in jobs per second.
     pub rate_jobs_per_s: f64,
-    /// Tasks in a job.
-    pub tasks: Law,
+    /// Number of tasks per job.
+    pub tasks: Distribution,
     /// Run times of tasks, in milliseconds.
-    pub run_time: Law,
-    /// Declared run time as a multiple of the true one; 0 declares none.
+    pub run_time: Distribution,
+    /// Declared run time as a multiple of the actual one; 0 to declare none.
     pub declared_factor: f64,
-    /// Time of arrivals, in milliseconds.
+    /// Time during which jobs are sent, in milliseconds.
     pub duration_ms: u64,
-    /// Times of a higher rate.
+    /// Periodic bursts, if any.
     pub bursts: Option<Bursts>,
-    /// Share of jobs submitted again at another entry.
+    /// Percentage of jobs that are resubmitted at another entry instance.
     pub resubmit_percent: f64,
-    /// Share of jobs whose key is used for another body at another entry.
+    /// Percentage of jobs whose key is reused for another body at another entry instance.
     pub reuse_percent: f64,
-    /// Share of jobs cancelled.
+    /// Percentage of jobs that are cancelled.
     pub cancel_percent: f64,
-    /// Time allowed for a job; 0 leaves it to the entry.
+    /// Deadline of jobs after their submission, in milliseconds; 0 for the entry's default.
     pub deadline_ms: u64,
-    /// Submit again after the time that a refusal names.
+    /// Retry after the delay that a refusal asks for.
     pub obey_retry_after: bool,
-    /// Most submissions of a job after a refusal with a time, a lost answer or
-    /// one that leaves it open whether the job ran.
-    pub ask_again_max: usize,
+    /// Maximum number of retries of a job after a refusal with a delay, a lost response or a
+    /// response that leaves open whether the job ran.
+    pub retries_max: usize,
     /// Seed of the plan.
     pub seed: u64,
-    /// Who makes the keys.
+    /// How idempotency keys are created.
     pub key_kind: KeyKind,
-    /// Entries that mint the keys; those that take the jobs where empty.
+    /// Entry instances that mint the keys; `entries` if empty.
     pub mint_at: Vec<SocketAddr>,
-    /// Path time that the ideal includes, in milliseconds.
+    /// Network time that is part of the ideal response time, in milliseconds.
     pub path_ms: f64,
-    /// Most jobs in flight; those beyond are counted and not sent.
+    /// Maximum number of jobs in flight; further jobs are counted, but not sent.
     pub in_flight_max: usize,
-    /// Keep the history of requests.
+    /// Record the history of requests.
     pub history: bool,
 }
 
@@ -124,8 +124,8 @@
             service: "default".to_owned(),
             teams: vec!["default".to_owned()],
             rate_jobs_per_s: 10.0,
-            tasks: Law::Fixed(1.0),
-            run_time: Law::Fixed(100.0),
+            tasks: Distribution::Fixed(1.0),
+            run_time: Distribution::Fixed(100.0),
             declared_factor: 0.0,
             duration_ms: 5_000,
             bursts: None,
@@ -134,7 +134,7 @@
             cancel_percent: 0.0,
             deadline_ms: 0,
             obey_retry_after: false,
-            ask_again_max: 0,
+            retries_max: 0,
             seed: 1,
             key_kind: KeyKind::default(),
             mint_at: Vec::new(),
@@ -146,7 +146,7 @@
 }
 
 impl LoadOptions {
-    /// Jobs a second at a time since the start.
+    /// Arrival rate at a time after the start, in jobs per second.
     pub fn rate_at(&self, at_ms: f64) -> f64 {
         match self.bursts {
             Some(bursts) if at_ms % bursts.every_ms < bursts.for_ms => {
@@ -156,18 +156,18 @@
         }
     }
 
-    /// Highest rate of all, in jobs a second.
+    /// Maximum arrival rate, in jobs per second.
     pub fn rate_max(&self) -> f64 {
         let factor = self.bursts.map_or(1.0, |bursts| bursts.factor.max(1.0));
         self.rate_jobs_per_s * factor
     }
 
-    /// Whether a job may still be asked for so long after its first submission.
-    fn allows(&self, elapsed: Duration) -> bool {
+    /// Whether a retry is within the deadline after this time since the first submission.
+    fn allows_retry(&self, elapsed: Duration) -> bool {
         self.deadline_ms == 0 || elapsed < Duration::from_millis(self.deadline_ms)
     }
 
-    fn drain(&self) -> Duration {
+    fn drain_timeout(&self) -> Duration {
         let drain_ms = match self.deadline_ms {
             0 => DRAIN_WITHOUT_DEADLINE_MS,
             deadline_ms => deadline_ms + DRAIN_MS,
@@ -176,7 +176,7 @@
     }
 }
 
-/// What the jobs of a run share.
+/// State shared by the jobs of a run.
 #[derive(Debug)]
 struct Run {
     options: LoadOptions,
@@ -208,15 +208,15 @@
         self.options.entries[number % self.options.entries.len()]
     }
 
-    fn remember(&self, entry: impl FnOnce() -> HistoryEntry) {
+    fn record_request(&self, entry: impl FnOnce() -> HistoryEntry) {
         if self.options.history {
             lock(&self.history).push(entry());
         }
     }
 
-    async fn reading(&self) -> Reading {
+    async fn read_counters(&self) -> CounterSnapshot {
         let (workers, entries) = (&self.options.worker_counters, &self.options.entries);
-        Reading::take(&self.client, workers, entries).await
+        CounterSnapshot::read(&self.client, workers, entries).await
     }
 }
 
@@ -224,23 +224,23 @@
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-/// Runs the load and gives its figures and, if wanted, its history.
+/// Runs the load and returns its report, and its history if [`LoadOptions::history`] is set.
 ///
-/// One of `entries` and `direct` must not be empty.
+/// Either `entries` or `direct` must not be empty.
 pub async fn run(options: &LoadOptions) -> (LoadReport, Vec<HistoryEntry>) {
     let run = Arc::new(Run::new(options));
     let plan: Vec<_> = Plan::new(options).collect();
-    let before = run.reading().await;
+    let before = run.read_counters().await;
     let started = Instant::now();
     let mut jobs = send_all(&run, plan).await;
-    let drained = timeout(options.drain(), async {
+    let drained = timeout(options.drain_timeout(), async {
         while jobs.join_next().await.is_some() {}
     });
     let _ = drained.await;
     let whole_s = started.elapsed().as_secs_f64();
     let cut_off = jobs.len() as u64;
     jobs.shutdown().await;
-    let waste = run.reading().await.since(&before);
+    let waste = run.read_counters().await.since(&before);
     let times = RunTimes {
         arrivals_s: Duration::from_millis(options.duration_ms).as_secs_f64(),
         whole_s,
@@ -261,7 +261,7 @@
             run.stats().not_sent += 1;
             continue;
         }
-        run.stats().sent(due.elapsed().as_secs_f64() * 1e3);
+        run.stats().record_sent(due.elapsed().as_secs_f64() * 1e3);
         match run.options.direct.is_empty() {
             true => jobs.spawn(entries::run_job(Arc::clone(run), job)),
             false => jobs.spawn(direct::run_job(Arc::clone(run), job)),
--- a/crates/fakes/src/load/direct.rs
+++ b/crates/fakes/src/load/direct.rs
@@ -1,5 +1,5 @@
-//! Baselines without entry instances: dispatchers that send tasks straight to
-//! backend servers, each knowing only its own work.
+//! Baseline without entry instances: independent dispatchers send tasks directly to backend
+//! servers.
 
 use std::{
     net::SocketAddr,
@@ -24,7 +24,7 @@
     entries::elapsed_ms,
     job::{self, JobAnswer, Payload, TokenResult},
     plan::JobPlan,
-    stats::JobEnd,
+    stats::JobTiming,
 };
 use crate::{
     check::history::{HistoryEntry, RequestKind},
@@ -32,67 +32,67 @@
     worker::TASK_HEADER,
 };
 
-/// Tries of a task at once; after each such round it pauses.
-const TRIES_A_ROUND: u64 = 8;
+/// Attempts of a task between pauses.
+const ATTEMPTS_PER_ROUND: u64 = 8;
 const ROUND_PAUSE_MS: u64 = 1;
-/// Time a job has where no deadline is asked for.
-const DEADLINE_DEFAULT_MS: u64 = 60_000;
+/// Timeout of jobs without a deadline.
+const DEFAULT_DEADLINE_MS: u64 = 60_000;
 
-/// How a dispatcher picks a backend server.
+/// How a baseline dispatcher chooses a backend server.
 #[derive(Clone, Copy, Debug, Default, Display, PartialEq, Eq)]
 pub enum Policy {
-    /// Any, at random.
+    /// A random one.
     #[default]
     #[display("random")]
     Random,
-    /// The one with fewer of this dispatcher's tasks, of two at random.
+    /// Of two random ones, the one with fewer tasks of this dispatcher.
     #[display("two-choices")]
     TwoChoices,
 }
 
-/// One dispatcher's knowledge: its own tasks at each backend server.
+/// A baseline dispatcher, which knows only its own tasks at each backend server.
 #[derive(Debug)]
 pub(super) struct Dispatcher {
-    held: Vec<AtomicU64>,
+    in_flight: Vec<AtomicU64>,
 }
 
 impl Dispatcher {
     pub fn new(workers: usize) -> Self {
         Self {
-            held: (0..workers).map(|_| AtomicU64::new(0)).collect(),
+            in_flight: (0..workers).map(|_| AtomicU64::new(0)).collect(),
         }
     }
 
-    fn pick(&self, policy: Policy) -> usize {
+    fn choose(&self, policy: Policy) -> usize {
         let mut random = rand::rng();
-        let mut any = || random.random_range(0..self.held.len());
+        let mut random_worker = || random.random_range(0..self.in_flight.len());
         match policy {
-            Policy::Random => any(),
+            Policy::Random => random_worker(),
             Policy::TwoChoices => {
-                let (one, two) = (any(), any());
-                match self.load(one) <= self.load(two) {
-                    true => one,
-                    false => two,
+                let (first, second) = (random_worker(), random_worker());
+                match self.load(first) <= self.load(second) {
+                    true => first,
+                    false => second,
                 }
             }
         }
     }
 
     fn load(&self, worker: usize) -> u64 {
-        self.held[worker].load(Ordering::Relaxed)
+        self.in_flight[worker].load(Ordering::Relaxed)
     }
 
-    fn hold(&self, worker: usize) -> Held<'_> {
-        let held = &self.held[worker];
-        held.fetch_add(1, Ordering::Relaxed);
-        Held(held)
+    fn begin_task(&self, worker: usize) -> InFlightGuard<'_> {
+        let in_flight = &self.in_flight[worker];
+        in_flight.fetch_add(1, Ordering::Relaxed);
+        InFlightGuard(in_flight)
     }
 }
 
 /// Counts a task at a backend server until dropped.
-struct Held<'a>(&'a AtomicU64);
+struct InFlightGuard<'a>(&'a AtomicU64);
 
-impl Drop for Held<'_> {
+impl Drop for InFlightGuard<'_> {
     fn drop(&mut self) {
         self.0.fetch_sub(1, Ordering::Relaxed);
     }
@@ -101,10 +101,10 @@
 /// Runs one job to its end.
 pub(super) async fn run_job(run: Arc<Run>, plan: JobPlan) {
     let key = job::uuid7(&plan.key_random);
-    let tokens = job::tokens(&key, job::OWN_BODY, plan.run_ms.len());
+    let tokens = job::tokens(&key, job::FIRST_BODY_MARK, plan.run_ms.len());
     let (sent, sent_ms) = (Instant::now(), job::unix_ms());
     let deadline_ms = match run.options.deadline_ms {
-        0 => DEADLINE_DEFAULT_MS,
+        0 => DEFAULT_DEADLINE_MS,
         deadline_ms => deadline_ms,
     };
     let tasks = run_tasks(&run, &plan, &key, &tokens);
@@ -112,15 +112,15 @@
         Ok(answer) => answer,
         Err(_) => failed("deadline"),
     };
-    let end = JobEnd {
+    let timing = JobTiming {
         tasks: plan.run_ms.len(),
         response_ms: elapsed_ms(sent),
         ideal_ms: plan.longest_ms() + run.options.path_ms,
         deadline_ms: run.options.deadline_ms,
     };
-    run.stats().answered(&answer, end.response_ms);
-    run.stats().ended(&answer, end);
-    run.remember(|| HistoryEntry {
+    run.stats().record_answer(&answer, timing.response_ms);
+    run.stats().record_end(&answer, timing);
+    run.record_request(|| HistoryEntry {
         kind: RequestKind::Submit,
         key,
         entry: "direct".to_owned(),
@@ -145,11 +145,11 @@
             dispatcher: plan.number % run.dispatchers.len(),
         };
         let run = Arc::clone(run);
-        running.spawn(async move { (index, place(&run, &task).await) });
+        running.spawn(async move { (index, run_task(&run, &task).await) });
     }
     let mut results = vec![Value::Null; tokens.len()];
-    while let Some(ended) = running.join_next().await {
-        match ended {
+    while let Some(joined) = running.join_next().await {
+        match joined {
             Ok((index, Some(result))) => results[index] = result,
             Ok((_, None)) | Err(_) => return failed("task_failed"),
         }
@@ -183,35 +183,35 @@
         run_ms,
         result: TokenResult { token },
     };
-    // A struct of numbers and texts always has a JSON form.
+    // Serialization of numbers and strings cannot fail.
     serde_json::to_vec(&payload).unwrap_or_default()
 }
 
-/// Tries backend servers until one takes the task; `None` where it failed.
-async fn place(run: &Run, task: &Task) -> Option<Value> {
+/// Tries backend servers until one accepts the task; `None` if the task fails.
+async fn run_task(run: &Run, task: &Task) -> Option<Value> {
     let dispatcher = &run.dispatchers[task.dispatcher];
     for attempt in 1.. {
-        let worker = dispatcher.pick(run.options.policy);
-        let held = dispatcher.hold(worker);
-        match try_once(run, task, run.options.direct[worker], attempt).await {
-            Attempt::Done(result) => return Some(result),
-            Attempt::Failed => return None,
-            Attempt::Refused => drop(held),
+        let worker = dispatcher.choose(run.options.policy);
+        let in_flight = dispatcher.begin_task(worker);
+        match attempt_task(run, task, run.options.direct[worker], attempt).await {
+            AttemptOutcome::Done(result) => return Some(result),
+            AttemptOutcome::Failed => return None,
+            AttemptOutcome::Refused => drop(in_flight),
         }
-        if attempt % TRIES_A_ROUND == 0 {
+        if attempt % ATTEMPTS_PER_ROUND == 0 {
             sleep(Duration::from_millis(ROUND_PAUSE_MS)).await;
         }
     }
     None
 }
 
-enum Attempt {
+enum AttemptOutcome {
     Done(Value),
     Refused,
     Failed,
 }
 
-async fn try_once(run: &Run, task: &Task, worker: SocketAddr, attempt: u64) -> Attempt {
+async fn attempt_task(run: &Run, task: &Task, worker: SocketAddr, attempt: u64) -> AttemptOutcome {
     let mut request = request(Method::POST, worker, "/run", task.body.clone());
     let name = format!("{}/{attempt}", task.name);
     if let Ok(name) = HeaderValue::from_str(&name) {
@@ -219,10 +219,10 @@
     }
     match run.client.send(request).await {
         Ok(reply) if reply.status.is_success() => {
-            serde_json::from_slice(&reply.body).map_or(Attempt::Failed, Attempt::Done)
+            serde_json::from_slice(&reply.body).map_or(AttemptOutcome::Failed, AttemptOutcome::Done)
         }
-        Ok(reply) if reply.status == StatusCode::SERVICE_UNAVAILABLE => Attempt::Refused,
-        Err(CallError::Connect { .. }) => Attempt::Refused,
-        Ok(_) | Err(CallError::Broken { .. }) => Attempt::Failed,
+        Ok(reply) if reply.status == StatusCode::SERVICE_UNAVAILABLE => AttemptOutcome::Refused,
+        Err(CallError::Connect { .. }) => AttemptOutcome::Refused,
+        Ok(_) | Err(CallError::Broken { .. }) => AttemptOutcome::Failed,
     }
 }
--- a/crates/fakes/src/load/law.rs
+++ b/crates/fakes/src/load/distribution.rs
@@ -1,4 +1,4 @@
-//! Laws of distribution, for run times and for tasks in a job.
+//! Probability distributions of run times and numbers of tasks.
 
 use std::{f64::consts::TAU, str::FromStr};
 
@@ -7,21 +7,21 @@
 
 const PERCENT: f64 = 100.0;
 
-/// A law of distribution, with its parameters in the unit of what it rules.
+/// A probability distribution; its parameters have the unit of its values.
 #[derive(Clone, Copy, Debug, Display, PartialEq)]
-pub enum Law {
-    /// Always the same.
+pub enum Distribution {
+    /// A constant.
     #[display("fixed:{_0}")]
     Fixed(f64),
-    /// Evenly between two bounds.
+    /// The uniform distribution between two bounds.
     #[display("uniform:{min}:{max}")]
     Uniform {
-        /// Least.
+        /// Lower bound.
         min: f64,
-        /// Most.
+        /// Upper bound.
         max: f64,
     },
-    /// Lognormal, by its mean and the deviation of its logarithm.
+    /// The lognormal distribution.
     #[display("lognormal:{mean}:{sigma}")]
     Lognormal {
         /// Mean.
@@ -36,34 +36,34 @@
         short: f64,
         /// The rare value.
         long: f64,
-        /// Share of the rare value, in percent.
+        /// Probability of the rare value, in percent.
         long_percent: f64,
     },
 }
 
-/// Why a text is no law.
+/// Error of parsing a [`Distribution`].
 #[derive(Clone, Debug, Display, Error)]
 #[display(
-    "{text:?} is no law; try 100, fixed:100, uniform:50:1000, lognormal:200:0.5 (mean, sigma) or \
-     bimodal:100:2000:5 (short, long, percent long)"
+    "invalid distribution {text:?}; try 100, fixed:100, uniform:50:1000, \
+     lognormal:200:0.5 (mean, sigma) or bimodal:100:2000:5 (short, long, percent long)"
 )]
-pub struct LawError {
+pub struct DistributionError {
     text: String,
 }
 
-impl FromStr for Law {
-    type Err = LawError;
+impl FromStr for Distribution {
+    type Err = DistributionError;
 
-    fn from_str(text: &str) -> Result<Self, LawError> {
-        parse(text).ok_or_else(|| LawError {
+    fn from_str(text: &str) -> Result<Self, DistributionError> {
+        parse(text).ok_or_else(|| DistributionError {
             text: text.to_owned(),
         })
     }
 }
 
-fn parse(text: &str) -> Option<Law> {
+fn parse(text: &str) -> Option<Distribution> {
     if let Ok(value) = text.parse() {
-        return Some(Law::Fixed(value));
+        return Some(Distribution::Fixed(value));
     }
     let (name, numbers) = text.split_once(':')?;
     let numbers: Vec<f64> = numbers
@@ -71,10 +71,12 @@
         .map(|number| number.parse().ok())
         .collect::<Option<_>>()?;
     match (name, numbers[..].as_ref()) {
-        ("fixed", &[value]) => Some(Law::Fixed(value)),
-        ("uniform", &[min, max]) if min <= max => Some(Law::Uniform { min, max }),
-        ("lognormal", &[mean, sigma]) if mean > 0.0 => Some(Law::Lognormal { mean, sigma }),
-        ("bimodal", &[short, long, long_percent]) => Some(Law::Bimodal {
+        ("fixed", &[value]) => Some(Distribution::Fixed(value)),
+        ("uniform", &[min, max]) if min <= max => Some(Distribution::Uniform { min, max }),
+        ("lognormal", &[mean, sigma]) if mean > 0.0 => {
+            Some(Distribution::Lognormal { mean, sigma })
+        }
+        ("bimodal", &[short, long, long_percent]) => Some(Distribution::Bimodal {
             short,
             long,
             long_percent,
@@ -83,8 +85,8 @@
     }
 }
 
-impl Law {
-    /// Draws one value.
+impl Distribution {
+    /// Samples one value.
     pub fn sample(&self, random: &mut impl Rng) -> f64 {
         match *self {
             Self::Fixed(value) => value,
@@ -97,7 +99,7 @@
                 short,
                 long,
                 long_percent,
-            } => match percent(random, long_percent) {
+            } => match chance(random, long_percent) {
                 true => long,
                 false => short,
             },
@@ -105,22 +107,23 @@
     }
 }
 
-/// True in `share` percent of calls.
-pub fn percent(random: &mut impl Rng, share: f64) -> bool {
-    random.random::<f64>() * PERCENT < share
+/// True with a probability in percent.
+pub(crate) fn chance(random: &mut impl Rng, percent: f64) -> bool {
+    random.random::<f64>() * PERCENT < percent
 }
 
-/// Draws from the standard normal law (Box and Muller, 1958).
+/// Samples the standard normal distribution by the Box-Muller transform.
 fn normal(random: &mut impl Rng) -> f64 {
     let radius = (-2.0 * open_unit(random).ln()).sqrt();
     radius * (TAU * random.random::<f64>()).cos()
 }
 
-/// Draws the gap to the next event of a Poisson process, in its own unit.
+/// Samples the exponential distribution, such as the time to the next event of a Poisson process.
 pub fn exponential(random: &mut impl Rng, rate: f64) -> f64 {
     -open_unit(random).ln() / rate
 }
 
+/// Samples the uniform distribution on (0, 1].
 fn open_unit(random: &mut impl Rng) -> f64 {
     1.0 - random.random::<f64>()
 }
--- a/crates/fakes/src/load/entries.rs
+++ b/crates/fakes/src/load/entries.rs
@@ -1,4 +1,4 @@
-//! Jobs sent to entry instances, as callers send them.
+//! Jobs sent to entry instances.
 
 use std::{
     net::SocketAddr,
@@ -16,8 +16,8 @@
 use super::{
     KeyKind, Run,
     job::{self, JobAnswer, Outcome},
-    plan::{JobPlan, SecondThought},
-    stats::JobEnd,
+    plan::{FollowUp, JobPlan},
+    stats::JobTiming,
 };
 use crate::{
     check::history::{HistoryEntry, RequestKind},
@@ -26,14 +26,14 @@
 };
 
 const KEY_HEADER: HeaderName = HeaderName::from_static("idempotency-key");
-/// Pause before a lost or doubtful answer is asked for again.
-const ASK_AGAIN_MS: u64 = 20;
-/// Reason of a request that had no answer when the run was cut off.
+/// Delay before a retry that no refusal asks a delay for.
+const RETRY_DELAY_MS: u64 = 20;
+/// Reason recorded for a request without a response when the run was cut off.
 const CUT_OFF: &str = "cut_off";
-/// Mints one key.
+/// Path of the call that mints one key.
 const MINT_PATH: &str = "/v1/keys?count=1";
 
-/// A submission that can be made more than once.
+/// A submission, which can be repeated.
 #[derive(Clone, Debug)]
 struct Submission {
     key: String,
@@ -42,43 +42,43 @@
     body_hash: String,
 }
 
-/// Runs one job to its last answer.
+/// Runs one job until its last response.
 pub(super) async fn run_job(run: Arc<Run>, plan: JobPlan) {
-    let key = key(&run, &plan).await;
-    let own = submission_of(&run, &plan, &key, job::OWN_BODY);
+    let key = create_key(&run, &plan).await;
+    let submission = build_submission(&run, &plan, &key, job::FIRST_BODY_MARK);
     let other = plan
         .reuse
-        .map(|_| submission_of(&run, &plan, &key, job::OTHER_BODY));
+        .map(|_| build_submission(&run, &plan, &key, job::OTHER_BODY_MARK));
     let sent = Instant::now();
-    let resubmit = follow_up(&run, &plan, plan.resubmit, RequestKind::Submit, &own);
+    let resubmit = send_follow_up(&run, &plan, plan.resubmit, RequestKind::Submit, &submission);
     let reuse = async {
         if let Some(other) = &other {
-            follow_up(&run, &plan, plan.reuse, RequestKind::Submit, other).await;
+            send_follow_up(&run, &plan, plan.reuse, RequestKind::Submit, other).await;
         }
     };
-    let cancel = follow_up(&run, &plan, plan.cancel, RequestKind::Cancel, &own);
-    let first = run_first(&run, &plan, &own, sent);
+    let cancel = send_follow_up(&run, &plan, plan.cancel, RequestKind::Cancel, &submission);
+    let first = submit_and_measure(&run, &plan, &submission, sent);
     tokio::join!(first, resubmit, reuse, cancel);
 }
 
-async fn run_first(run: &Run, plan: &JobPlan, submission: &Submission, sent: Instant) {
+async fn submit_and_measure(run: &Run, plan: &JobPlan, submission: &Submission, sent: Instant) {
     let answer = submit_until_final(run, plan.number, submission).await;
-    let end = JobEnd {
+    let timing = JobTiming {
         tasks: plan.run_ms.len(),
         response_ms: elapsed_ms(sent),
         ideal_ms: plan.longest_ms() + run.options.path_ms,
         deadline_ms: run.options.deadline_ms,
     };
-    run.stats().ended(&answer, end);
+    run.stats().record_end(&answer, timing);
 }
 
-/// The job's key. One is minted for each job, as late as can be: a key's owner
-/// can be lost between its issue and its first submission.
-async fn key(run: &Run, plan: &JobPlan) -> String {
+/// Creates the job's key. Keys are minted as late as possible, because the owner of a key can be
+/// lost before its first submission.
+async fn create_key(run: &Run, plan: &JobPlan) -> String {
     let minted = match run.options.key_kind {
         KeyKind::Uuid7 => None,
         KeyKind::Minted => {
-            let key = mint(run, plan.number).await;
+            let key = mint_key(run, plan.number).await;
             run.stats().keys_not_minted += u64::from(key.is_none());
             key
         }
@@ -86,7 +86,7 @@
     minted.unwrap_or_else(|| job::uuid7(&plan.key_random))
 }
 
-fn submission_of(run: &Run, plan: &JobPlan, key: &str, mark: &str) -> Submission {
+fn build_submission(run: &Run, plan: &JobPlan, key: &str, mark: &str) -> Submission {
     let tokens = job::tokens(key, mark, plan.run_ms.len());
     let body = job::body(&run.options, plan, &tokens);
     Submission {
@@ -99,32 +99,32 @@
 
 async fn submit_until_final(run: &Run, number: usize, submission: &Submission) -> JobAnswer {
     let sent = Instant::now();
-    let mut asked_again = 0;
+    let mut retries = 0;
     loop {
-        let answer = submit(run, run.entry(number + asked_again), submission).await;
-        let Some(pause) = pause_before_next(run, &answer) else {
+        let answer = submit(run, run.entry(number + retries), submission).await;
+        let Some(delay) = retry_delay(run, &answer) else {
             return answer;
         };
-        let too_late = !run.options.allows(sent.elapsed() + pause);
-        if too_late || asked_again >= run.options.ask_again_max {
+        let too_late = !run.options.allows_retry(sent.elapsed() + delay);
+        if too_late || retries >= run.options.retries_max {
             return answer;
         }
-        asked_again += 1;
+        retries += 1;
         run.stats().asked_again += 1;
-        sleep(pause).await;
+        sleep(delay).await;
     }
 }
 
-/// How long to wait before the same key is submitted again; `None` if it is not.
-fn pause_before_next(run: &Run, answer: &JobAnswer) -> Option<Duration> {
+/// Delay before the next submission of the same key; `None` if the answer is final.
+fn retry_delay(run: &Run, answer: &JobAnswer) -> Option<Duration> {
     match answer.outcome() {
-        Outcome::Refused if answer.unsent => Some(Duration::from_millis(ASK_AGAIN_MS)),
+        Outcome::Refused if answer.unsent => Some(Duration::from_millis(RETRY_DELAY_MS)),
         Outcome::Refused if run.options.obey_retry_after && answer.retry_after_ms > 0 => {
             Some(Duration::from_millis(answer.retry_after_ms))
         }
-        Outcome::Lost => Some(Duration::from_millis(ASK_AGAIN_MS)),
+        Outcome::Lost => Some(Duration::from_millis(RETRY_DELAY_MS)),
         Outcome::Failed if answer.verdict == "may_have_run" => {
-            Some(Duration::from_millis(ASK_AGAIN_MS))
+            Some(Duration::from_millis(RETRY_DELAY_MS))
         }
         Outcome::Complete | Outcome::Cancelled | Outcome::Failed | Outcome::Refused => None,
     }
@@ -133,22 +133,22 @@
 async fn submit(run: &Run, entry: SocketAddr, submission: &Submission) -> JobAnswer {
     let started = Instant::now();
     let answer = call(run, RequestKind::Submit, entry, submission).await;
-    run.stats().answered(&answer, elapsed_ms(started));
+    run.stats().record_answer(&answer, elapsed_ms(started));
     answer
 }
 
-async fn follow_up(
+async fn send_follow_up(
     run: &Run,
     plan: &JobPlan,
-    thought: Option<SecondThought>,
+    follow_up: Option<FollowUp>,
     kind: RequestKind,
     submission: &Submission,
 ) {
-    let Some(thought) = thought else {
+    let Some(follow_up) = follow_up else {
         return;
     };
-    sleep(Duration::from_micros((thought.after_ms * 1e3) as u64)).await;
-    let entry = run.entry(plan.number + thought.entry_step);
+    sleep(Duration::from_micros((follow_up.after_ms * 1e3) as u64)).await;
+    let entry = run.entry(plan.number + follow_up.entry_step);
     match kind {
         RequestKind::Submit => {
             run.stats().resubmissions += 1;
@@ -176,20 +176,20 @@
     if let Ok(key) = HeaderValue::from_str(&submission.key) {
         request.headers_mut().insert(KEY_HEADER, key);
     }
-    let mut record = Record::new(run, kind, entry, submission);
-    let answer = JobAnswer::read(run.client.send(request).await);
-    record.answered(&answer);
+    let mut recorder = HistoryRecorder::new(run, kind, entry, submission);
+    let answer = JobAnswer::parse(run.client.send(request).await);
+    recorder.record_answer(&answer);
     answer
 }
 
-/// Puts a request into the history when dropped, answered or not: one that is
+/// Adds a request to the history when dropped, even without a response, since a request that was
 /// cut off may still take effect.
-struct Record<'a> {
+struct HistoryRecorder<'a> {
     run: &'a Run,
     entry: Option<HistoryEntry>,
 }
 
-impl<'a> Record<'a> {
+impl<'a> HistoryRecorder<'a> {
     fn new(run: &'a Run, kind: RequestKind, to: SocketAddr, submission: &Submission) -> Self {
         let entry = run.options.history.then(|| HistoryEntry {
             kind,
@@ -204,7 +204,7 @@
         Self { run, entry }
     }
 
-    fn answered(&mut self, answer: &JobAnswer) {
+    fn record_answer(&mut self, answer: &JobAnswer) {
         let Some(entry) = &mut self.entry else {
             return;
         };
@@ -216,11 +216,11 @@
     }
 }
 
-impl Drop for Record<'_> {
+impl Drop for HistoryRecorder<'_> {
     fn drop(&mut self) {
         if let Some(mut entry) = self.entry.take() {
             entry.answered_ms = job::unix_ms();
-            self.run.remember(|| entry);
+            self.run.record_request(|| entry);
         }
     }
 }
@@ -229,8 +229,8 @@
     since.elapsed().as_secs_f64() * 1e3
 }
 
-/// Mints one key at the first entry that answers.
-async fn mint(run: &Run, number: usize) -> Option<String> {
+/// Mints a key at the first entry instance that responds, beginning with the one at `number`.
+async fn mint_key(run: &Run, number: usize) -> Option<String> {
     #[derive(serde::Deserialize)]
     struct Keys {
         keys: Vec<String>,
@@ -239,8 +239,8 @@
         true => &run.options.entries,
         false => &run.options.mint_at,
     };
-    for turn in 0..entries.len() {
-        let entry = entries[(number + turn) % entries.len()];
+    for offset in 0..entries.len() {
+        let entry = entries[(number + offset) % entries.len()];
         let Ok(reply) = run.client.post(entry, MINT_PATH, "").await else {
             continue;
         };
--- a/crates/fakes/src/load/job.rs
+++ b/crates/fakes/src/load/job.rs
@@ -1,4 +1,4 @@
-//! Bodies of jobs, and what their answers say.
+//! Request bodies of jobs, and their responses.
 
 use std::time::{SystemTime, UNIX_EPOCH};
 
@@ -17,10 +17,10 @@
 const MILLIS_PER_SECOND: f64 = 1_000.0;
 const NOT_RUN: &str = "not_run";
 const COMPLETE: &str = "complete";
-/// Mark of a job's own body in its tokens.
-pub(super) const OWN_BODY: &str = "#";
-/// Mark of another body under the same key.
-pub(super) const OTHER_BODY: &str = "#other#";
+/// Marks the tokens of a job's first body.
+pub(super) const FIRST_BODY_MARK: &str = "#";
+/// Marks the tokens of another body with the same key.
+pub(super) const OTHER_BODY_MARK: &str = "#other#";
 const CANCELLED: &str = "cancelled";
 
 #[derive(Debug, Serialize)]
@@ -39,20 +39,20 @@
     declared_run_ms: Option<u64>,
 }
 
-/// Payload of a task, as the stand-in for backend servers reads it.
+/// Payload of a task for a fake backend server.
 #[derive(Debug, Serialize)]
 pub(super) struct Payload<'a> {
     pub run_ms: f64,
     pub result: TokenResult<'a>,
 }
 
-/// The result asked for: a token that no other task has.
+/// Result that the task returns: a unique token.
 #[derive(Debug, Serialize)]
 pub(super) struct TokenResult<'a> {
     pub token: &'a str,
 }
 
-/// A key that carries its issue time: a UUID of version 7.
+/// Creates a UUID of version 7, which holds its creation time.
 pub(super) fn uuid7(random: &[u8; 10]) -> String {
     let builder = Builder::from_unix_timestamp_millis(unix_ms() as u64, random);
     builder.into_uuid().to_string()
@@ -66,7 +66,7 @@
     since.as_secs_f64() * MILLIS_PER_SECOND
 }
 
-/// One token a task; `mark` tells bodies under the same key apart.
+/// Tokens of a body's tasks; `mark` distinguishes bodies with the same key.
 pub(super) fn tokens(key: &str, mark: &str, tasks: usize) -> Vec<String> {
     (0..tasks)
         .map(|index| format!("{key}{mark}{index}"))
@@ -97,17 +97,17 @@
         deadline_ms: (options.deadline_ms > 0).then_some(options.deadline_ms),
         tasks,
     };
-    // A struct of numbers and texts always has a JSON form.
+    // Serialization of numbers and strings cannot fail.
     serde_json::to_vec(&body).unwrap_or_default().into()
 }
 
-/// What an answer says, whether of a job or a problem.
+/// Response to a job request, whether a job or a problem.
 #[derive(Clone, Debug, Default, Deserialize)]
 #[serde(default)]
 pub(super) struct JobAnswer {
     #[serde(skip)]
     pub status: u16,
-    /// Whether the request never left: no verdict of the other side's.
+    /// Whether no connection could be made, so that the request was not sent.
     #[serde(skip)]
     pub unsent: bool,
     pub state: String,
@@ -121,8 +121,8 @@
 }
 
 impl JobAnswer {
-    /// Reads an answer; a broken call or a body that is no JSON says nothing.
-    pub fn read(reply: Result<Reply, CallError>) -> Self {
+    /// Parses a response. Without a response or with an invalid body, most fields stay empty.
+    pub fn parse(reply: Result<Reply, CallError>) -> Self {
         let reply = match reply {
             Ok(reply) => reply,
             Err(error) => return Self::lost(&error),
@@ -147,7 +147,7 @@
         }
     }
 
-    /// What it means for the job.
+    /// Outcome of the job for its caller.
     pub fn outcome(&self) -> Outcome {
         if self.status == StatusCode::OK.as_u16() && self.state == COMPLETE {
             return Outcome::Complete;
@@ -164,17 +164,16 @@
     }
 }
 
-/// How a job ended for its caller.
+/// Outcome of a job for its caller.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Outcome {
-    /// All results came.
+    /// All results were received.
     Complete,
     /// It did not run.
     Refused,
-    /// It was cancelled.
     Cancelled,
-    /// It was admitted, or may have been, and then failed.
+    /// It failed, or ended after it may have run.
     Failed,
-    /// No answer came.
+    /// The response was lost.
     Lost,
 }
--- a/crates/fakes/src/load/plan.rs
+++ b/crates/fakes/src/load/plan.rs
@@ -1,49 +1,49 @@
-//! What will be sent and when, drawn from the seed alone.
+//! Plan of all requests of a run, generated from its seed.
 
 use rand::Rng;
 use rand_chacha::{ChaCha8Rng, rand_core::SeedableRng};
 
 use super::{
     LoadOptions,
-    law::{exponential, percent},
+    distribution::{chance, exponential},
 };
 
 const SECOND_MS: f64 = 1_000.0;
-/// A resubmission or cancellation comes within this multiple of the ideal.
-const SECOND_THOUGHT_RATIO: f64 = 1.5;
+/// Follow-up requests are sent within this multiple of the longest run time.
+const FOLLOW_UP_RATIO: f64 = 1.5;
 
-/// A second request about a job, while or after the first runs.
+/// A follow-up request for a job, such as a resubmission or cancellation.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct SecondThought {
+pub struct FollowUp {
     /// Time after the first submission, in milliseconds.
     pub after_ms: f64,
-    /// Steps from the first submission's entry to this one's.
+    /// Offset of its entry instance from that of the first submission.
     pub entry_step: usize,
 }
 
-/// One job as planned.
+/// A planned job.
 #[derive(Clone, Debug, PartialEq)]
 pub struct JobPlan {
-    /// Place in the order of arrival.
+    /// Position in the order of arrival.
     pub number: usize,
-    /// Time of arrival since the start, in milliseconds.
+    /// Time of submission after the start, in milliseconds.
     pub at_ms: f64,
-    /// Team it is sent for.
+    /// Team of the job.
     pub team: String,
     /// Run times of its tasks, in milliseconds.
     pub run_ms: Vec<f64>,
     /// Random part of its key.
     pub key_random: [u8; 10],
-    /// Whether and when it is submitted again.
-    pub resubmit: Option<SecondThought>,
-    /// Whether and when another body is submitted under its key.
-    pub reuse: Option<SecondThought>,
-    /// Whether and when it is cancelled.
-    pub cancel: Option<SecondThought>,
+    /// Resubmission, if any.
+    pub resubmit: Option<FollowUp>,
+    /// Submission of another body with its key, if any.
+    pub reuse: Option<FollowUp>,
+    /// Cancellation, if any.
+    pub cancel: Option<FollowUp>,
 }
 
 impl JobPlan {
-    /// Longest run time, in milliseconds.
+    /// Longest run time of its tasks, in milliseconds.
     pub fn longest_ms(&self) -> f64 {
         self.run_ms.iter().copied().fold(0.0, f64::max)
     }
@@ -59,7 +59,7 @@
 }
 
 impl<'a> Plan<'a> {
-    /// The plan that the options' seed gives.
+    /// Creates the plan for the options' seed.
     pub fn new(options: &'a LoadOptions) -> Self {
         Self {
             options,
@@ -69,19 +69,19 @@
         }
     }
 
-    /// Moves to the next arrival: draws at the highest rate and thins.
-    fn step(&mut self) -> Option<()> {
-        let highest = self.options.rate_max();
-        if highest <= 0.0 {
+    /// Advances to the next arrival of an inhomogeneous Poisson process, by thinning.
+    fn advance(&mut self) -> Option<()> {
+        let rate_max = self.options.rate_max();
+        if rate_max <= 0.0 {
             return None;
         }
         loop {
-            self.now_ms += exponential(&mut self.random, highest) * SECOND_MS;
+            self.now_ms += exponential(&mut self.random, rate_max) * SECOND_MS;
             if self.now_ms >= self.options.duration_ms as f64 {
                 return None;
             }
-            let kept = self.options.rate_at(self.now_ms) / highest;
-            if self.random.random::<f64>() < kept {
+            let acceptance = self.options.rate_at(self.now_ms) / rate_max;
+            if self.random.random::<f64>() < acceptance {
                 return Some(());
             }
         }
@@ -102,13 +102,13 @@
             .collect()
     }
 
-    fn second_thought(&mut self, share: f64, longest_ms: f64) -> Option<SecondThought> {
-        let wanted = percent(&mut self.random, share);
-        let after = self.random.random::<f64>() * SECOND_THOUGHT_RATIO;
+    fn plan_follow_up(&mut self, share_percent: f64, longest_ms: f64) -> Option<FollowUp> {
+        let is_sent = chance(&mut self.random, share_percent);
+        let after_ratio = self.random.random::<f64>() * FOLLOW_UP_RATIO;
         let others = self.options.entries.len().max(2);
         let entry_step = self.random.random_range(1..others);
-        wanted.then_some(SecondThought {
-            after_ms: after * longest_ms,
+        is_sent.then_some(FollowUp {
+            after_ms: after_ratio * longest_ms,
             entry_step,
         })
     }
@@ -118,7 +118,7 @@
     type Item = JobPlan;
 
     fn next(&mut self) -> Option<JobPlan> {
-        self.step()?;
+        self.advance()?;
         let team = self.team();
         let run_ms = self.run_times();
         let mut job = JobPlan {
@@ -132,9 +132,9 @@
             cancel: None,
         };
         let longest_ms = job.longest_ms();
-        job.resubmit = self.second_thought(self.options.resubmit_percent, longest_ms);
-        job.cancel = self.second_thought(self.options.cancel_percent, longest_ms);
-        job.reuse = self.second_thought(self.options.reuse_percent, longest_ms);
+        job.resubmit = self.plan_follow_up(self.options.resubmit_percent, longest_ms);
+        job.cancel = self.plan_follow_up(self.options.cancel_percent, longest_ms);
+        job.reuse = self.plan_follow_up(self.options.reuse_percent, longest_ms);
         self.number += 1;
         Some(job)
     }
--- a/crates/fakes/src/load/stats.rs
+++ b/crates/fakes/src/load/stats.rs
@@ -1,4 +1,4 @@
-//! What a run measured.
+//! Measurements of a run.
 
 use std::collections::BTreeMap;
 
@@ -15,18 +15,18 @@
 const RATIO_SCALE: f64 = 1_000.0;
 const SIGNIFICANT_DIGITS: u8 = 3;
 
-/// A histogram of times or ratios that has no upper bound.
+/// A histogram of non-negative real values, stored as integers after scaling.
 #[derive(Clone, Debug)]
-pub struct Values {
+pub struct ScaledHistogram {
     histogram: Histogram<u64>,
     scale: f64,
 }
 
-impl Values {
+impl ScaledHistogram {
     fn new(scale: f64) -> Self {
         let histogram = Histogram::new(SIGNIFICANT_DIGITS);
         Self {
-            // The number of digits is a constant within the library's bounds.
+            // The number of digits is in the valid range.
             histogram: histogram.unwrap_or_else(|_| unreachable!()),
             scale,
         }
@@ -34,7 +34,7 @@
 
     fn record(&mut self, value: f64) {
         let scaled = (value.max(0.0) * self.scale).round() as u64;
-        // A histogram that resizes itself takes any value.
+        // Cannot fail, because the histogram resizes itself.
         let _ = self.histogram.record(scaled);
     }
 
@@ -51,10 +51,10 @@
     }
 }
 
-/// A distribution in short.
+/// Summary statistics of a distribution.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize)]
 pub struct Summary {
-    /// Values recorded.
+    /// Number of values.
     pub count: u64,
     /// Mean.
     pub mean: f64,
@@ -68,7 +68,7 @@
     pub max: f64,
 }
 
-/// Counters and histograms of a run under way.
+/// Counters and histograms of a running load.
 #[derive(Clone, Debug)]
 pub(super) struct Stats {
     pub jobs: u64,
@@ -84,17 +84,17 @@
     cancelled: u64,
     lost: u64,
     replayed: u64,
-    over_ideal: Values,
-    excess_ms: Values,
-    response_ms: Values,
-    pub send_lag_ms: Values,
-    refusals: BTreeMap<String, Values>,
+    response_over_ideal: ScaledHistogram,
+    excess_ms: ScaledHistogram,
+    response_ms: ScaledHistogram,
+    pub send_lag_ms: ScaledHistogram,
+    refusals: BTreeMap<String, ScaledHistogram>,
     failures: BTreeMap<String, u64>,
 }
 
 impl Default for Stats {
     fn default() -> Self {
-        let times = Values::new(MICROS_PER_MILLI);
+        let times = ScaledHistogram::new(MICROS_PER_MILLI);
         Self {
             jobs: 0,
             not_sent: 0,
@@ -109,7 +109,7 @@
             cancelled: 0,
             lost: 0,
             replayed: 0,
-            over_ideal: Values::new(RATIO_SCALE),
+            response_over_ideal: ScaledHistogram::new(RATIO_SCALE),
             excess_ms: times.clone(),
             response_ms: times.clone(),
             send_lag_ms: times,
@@ -119,39 +119,39 @@
     }
 }
 
-/// A job's end, as measured.
+/// Timing of an ended job.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct JobEnd {
+pub(super) struct JobTiming {
     pub tasks: usize,
     pub response_ms: f64,
     pub ideal_ms: f64,
-    /// Time the caller allowed; 0 for no bound.
+    /// Deadline after submission; 0 for none.
     pub deadline_ms: u64,
 }
 
 impl Stats {
-    /// Counts one answer to a submission; a refusal with its latency.
-    pub fn answered(&mut self, answer: &JobAnswer, latency_ms: f64) {
+    /// Records a response to a submission, and the latency of a refusal.
+    pub fn record_answer(&mut self, answer: &JobAnswer, latency_ms: f64) {
         self.requests += 1;
         self.replayed += u64::from(answer.replayed);
         if answer.outcome() == Outcome::Refused {
             self.refusals
                 .entry(answer.reason.clone())
-                .or_insert_with(|| Values::new(MICROS_PER_MILLI))
+                .or_insert_with(|| ScaledHistogram::new(MICROS_PER_MILLI))
                 .record(latency_ms);
         }
     }
 
-    /// Counts the lag of a submission behind its plan.
-    pub fn sent(&mut self, lag_ms: f64) {
+    /// Records a sent job and its lag behind the plan.
+    pub fn record_sent(&mut self, lag_ms: f64) {
         self.jobs += 1;
         self.send_lag_ms.record(lag_ms);
     }
 
-    /// Counts the last answer to a job.
-    pub fn ended(&mut self, answer: &JobAnswer, end: JobEnd) {
+    /// Records the last response to a job.
+    pub fn record_end(&mut self, answer: &JobAnswer, timing: JobTiming) {
         match answer.outcome() {
-            Outcome::Complete => self.completed(end),
+            Outcome::Complete => self.record_complete(timing),
             Outcome::Cancelled => self.cancelled += 1,
             Outcome::Lost => self.lost += 1,
             Outcome::Failed => {
@@ -161,25 +161,26 @@
                 };
                 *self.failures.entry(reason).or_default() += 1;
             }
-            // Counted with its latency when it was answered.
+            // Already recorded by `record_answer`.
             Outcome::Refused => {}
         }
     }
 
-    fn completed(&mut self, end: JobEnd) {
+    fn record_complete(&mut self, timing: JobTiming) {
         self.complete += 1;
-        self.complete_tasks += end.tasks as u64;
-        if end.deadline_ms > 0 && end.response_ms > end.deadline_ms as f64 {
+        self.complete_tasks += timing.tasks as u64;
+        if timing.deadline_ms > 0 && timing.response_ms > timing.deadline_ms as f64 {
             self.complete_late += 1;
         }
-        self.response_ms.record(end.response_ms);
-        self.excess_ms.record(end.response_ms - end.ideal_ms);
-        if end.ideal_ms > 0.0 {
-            self.over_ideal.record(end.response_ms / end.ideal_ms);
+        self.response_ms.record(timing.response_ms);
+        self.excess_ms.record(timing.response_ms - timing.ideal_ms);
+        if timing.ideal_ms > 0.0 {
+            self.response_over_ideal
+                .record(timing.response_ms / timing.ideal_ms);
         }
     }
 
-    /// The whole run in figures.
+    /// Creates the report of the run.
     pub fn report(&self, times: RunTimes, cut_off: u64, waste: Waste) -> LoadReport {
         let on_time = self.complete - self.complete_late;
         let run_s = times.arrivals_s;
@@ -201,7 +202,7 @@
             cut_off,
             goodput_jobs_per_s: on_time as f64 / run_s,
             goodput_tasks_per_s: self.complete_tasks as f64 / run_s,
-            response_over_ideal: self.over_ideal.summary(),
+            response_over_ideal: self.response_over_ideal.summary(),
             excess_ms: self.excess_ms.summary(),
             response_ms: self.response_ms.summary(),
             send_lag_ms: self.send_lag_ms.summary(),
@@ -216,63 +217,64 @@
     }
 }
 
-/// How long a run took.
+/// Durations of a run.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct RunTimes {
     pub arrivals_s: f64,
-    /// Until the last answer.
+    /// Until the last response.
     pub whole_s: f64,
 }
 
-/// Figures of a run.
+/// Report of a run. A job's ideal response time is its longest run time plus the network time.
 #[derive(Clone, Debug, Default, Serialize)]
 pub struct LoadReport {
-    /// Time of arrivals, in seconds; figures a second are over this.
+    /// Time during which jobs were sent, in seconds; the base of all rates.
     pub run_s: f64,
-    /// Time from the first arrival to the last answer, in seconds.
+    /// Time from the start to the last response, in seconds.
     pub whole_s: f64,
     /// Jobs sent.
     pub jobs: u64,
-    /// Jobs planned but not sent, because too many were in flight.
+    /// Jobs not sent because too many were in flight.
     pub not_sent: u64,
-    /// Submissions answered or lost.
+    /// Submissions with a response or a lost response.
     pub requests: u64,
-    /// Submissions of a key while or after the first.
+    /// Planned further submissions of a key, with the same or another body.
     pub resubmissions: u64,
     /// Cancellations sent.
     pub cancellations: u64,
-    /// Submissions made again after a refusal or a lost answer.
+    /// Retries after a refusal or a lost response.
     pub asked_again: u64,
-    /// Jobs sent under a key of the caller's for want of a minted one.
+    /// Jobs sent with a key of the caller because none could be minted.
     pub keys_not_minted: u64,
-    /// Jobs complete.
+    /// Jobs completed.
     pub complete: u64,
-    /// Of these, later than the deadline asked for.
+    /// Jobs completed after their deadline; included in `complete`.
     pub complete_late: u64,
     /// Jobs cancelled.
     pub cancelled: u64,
-    /// Jobs without an answer.
+    /// Jobs whose response was lost.
     pub lost: u64,
-    /// Answers that repeat those of an earlier submission.
+    /// Responses that replay that of an earlier submission.
     pub replayed: u64,
-    /// Jobs still without an answer when the run was cut off.
+    /// Jobs outstanding when the run was cut off.
     pub cut_off: u64,
-    /// Jobs complete in time, a second.
+    /// Jobs completed within their deadline, per second.
     pub goodput_jobs_per_s: f64,
-    /// Tasks of complete jobs, a second.
+    /// Tasks of completed jobs, per second.
     pub goodput_tasks_per_s: f64,
-    /// Response time of complete jobs as a multiple of the ideal.
+    /// Response times of completed jobs as a multiple of the ideal.
     pub response_over_ideal: Summary,
-    /// Response time of complete jobs beyond the ideal, in milliseconds.
+    /// Response times of completed jobs in excess of the ideal, in milliseconds.
     pub excess_ms: Summary,
-    /// Response time of complete jobs, in milliseconds.
+    /// Response times of completed jobs, in milliseconds.
     pub response_ms: Summary,
-    /// Lag of this tool's sending behind its plan, in milliseconds.
+    /// Lag of submissions behind their plan, in milliseconds; large if the load generator itself is
+    /// overloaded.
     pub send_lag_ms: Summary,
-    /// Refused submissions by reason: latency in milliseconds.
+    /// Latencies of refusals in milliseconds, by reason.
     pub refusals: BTreeMap<String, Summary>,
-    /// Failed jobs by reason.
+    /// Number of failed jobs, by reason.
     pub failures: BTreeMap<String, u64>,
-    /// Messages that did no work.
+    /// Wasted messages.
     pub waste: Waste,
 }
--- a/crates/fakes/src/load/table.rs
+++ b/crates/fakes/src/load/table.rs
@@ -1,10 +1,10 @@
-//! A run's figures as a table for people.
+//! Human-readable report of a run.
 
 use std::fmt::{self, Display, Formatter};
 
 use super::{LoadReport, Summary};
 
-/// Shows a report as a table.
+/// Displays a report as a table.
 #[derive(Clone, Copy, Debug)]
 pub struct Table<'a>(pub &'a LoadReport);
 
--- a/crates/fakes/src/load/waste.rs
+++ b/crates/fakes/src/load/waste.rs
@@ -1,4 +1,4 @@
-//! Wasted messages, read from counters before and after a run.
+//! Wasted messages, computed from counters read before and after a run.
 
 use std::net::SocketAddr;
 
@@ -6,53 +6,52 @@
 
 use crate::{client::Client, worker::record::WorkerCounters};
 
-/// Start of the names of the entries' counters of wasted messages.
+/// Prefix of the names of the entry instances' counters of wasted messages.
 const ENTRY_COUNTER_PREFIX: &str = "trefoil_wasted_messages";
 
-/// Messages that did no work.
+/// Messages that did not contribute to the work of a run.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize)]
 pub struct Waste {
     /// Tasks started.
     pub starts: u64,
-    /// Task requests that backend servers refused or whose caller went away.
+    /// Task requests that backend servers refused or whose client disconnected.
     pub worker_messages: u64,
-    /// The same, for each task started.
+    /// `worker_messages` per started task.
     pub worker_messages_per_task: f64,
-    /// Wasted messages as the entries count them.
+    /// Wasted messages counted by entry instances.
     pub entry_messages: f64,
-    /// The same, for each task started.
+    /// `entry_messages` per started task.
     pub entry_messages_per_task: f64,
-    /// Counters that could not be read; where there are any, the figures
-    /// above are incomplete.
+    /// Number of failed reads of counters; if not 0, the other fields are incomplete.
     pub unread: u64,
 }
 
-/// Counters summed at one moment.
+/// Sums of counters at one time.
 #[derive(Clone, Copy, Debug, Default)]
-pub(super) struct Reading {
+pub(super) struct CounterSnapshot {
     starts: u64,
     worker_messages: u64,
     entry_messages: f64,
     unread: u64,
 }
 
-impl Reading {
+impl CounterSnapshot {
     /// Reads the counters of `workers` and `entries`.
-    pub async fn take(client: &Client, workers: &[SocketAddr], entries: &[SocketAddr]) -> Self {
-        let mut reading = Self::default();
+    pub async fn read(client: &Client, workers: &[SocketAddr], entries: &[SocketAddr]) -> Self {
+        let mut snapshot = Self::default();
         for &worker in workers {
             match worker_counters(client, worker).await {
-                Some(counters) => reading.add_worker(&counters),
-                None => reading.unread += 1,
+                Some(counters) => snapshot.add_worker(&counters),
+                None => snapshot.unread += 1,
             }
         }
         for &entry in entries {
             match entry_messages(client, entry).await {
-                Some(messages) => reading.entry_messages += messages,
-                None => reading.unread += 1,
+                Some(messages) => snapshot.entry_messages += messages,
+                None => snapshot.unread += 1,
             }
         }
-        reading
+        snapshot
     }
 
     fn add_worker(&mut self, counters: &WorkerCounters) {
@@ -63,7 +62,7 @@
             + counters.dropped;
     }
 
-    /// What was wasted since an earlier reading.
+    /// Waste since an earlier snapshot.
     pub fn since(&self, earlier: &Self) -> Waste {
         let starts = self.starts.saturating_sub(earlier.starts);
         let worker_messages = self.worker_messages.saturating_sub(earlier.worker_messages);
--- a/crates/fakes/tests/check.rs
+++ b/crates/fakes/tests/check.rs
@@ -1,4 +1,4 @@
-//! The checker finds each promise broken, and nothing in a sound history.
+//! The history checker finds each kind of violation, and none in a valid history.
 
 use serde_json::{Value, json};
 use trefoil_fakes::{
@@ -62,14 +62,14 @@
 }
 
 #[test]
-fn a_sound_history_has_no_violations() {
+fn valid_history_has_no_violations() {
     // Refused first, then accepted, then replayed to a resubmission.
     let requests = [refused(50.0), complete(), complete()];
     assert_eq!(violations(&requests, &both_starts()), []);
 }
 
 #[test]
-fn a_second_start_under_another_attempt_is_found() {
+fn second_start_under_another_attempt_is_a_double_start() {
     let mut starts = both_starts().to_vec();
     starts.push(start(1, 2, 150));
     let expected = Violation::DoubleStart {
@@ -81,8 +81,8 @@
 }
 
 #[test]
-fn a_not_run_that_was_the_last_word_is_false_if_anything_started() {
-    // The first submission was lost: its caller believes the refusal.
+fn final_not_run_is_false_if_a_task_started_at_any_time() {
+    // The response to the first submission was lost, so the caller relies on the refusal.
     let lost = HistoryEntry {
         answered_ms: 140.0,
         status: 0,
@@ -97,7 +97,7 @@
 }
 
 #[test]
-fn an_entry_that_was_unreachable_is_no_later_word() {
+fn unreachable_entry_gives_no_later_verdict() {
     let unreachable = HistoryEntry {
         status: 0,
         verdict: String::new(),
@@ -113,7 +113,7 @@
 }
 
 #[test]
-fn a_not_run_after_a_start_is_false_whatever_follows() {
+fn not_run_after_a_start_is_always_false() {
     let requests = [complete(), refused(150.0)];
     let found = violations(&requests, &both_starts());
     assert!(matches!(
@@ -123,7 +123,7 @@
 }
 
 #[test]
-fn a_cancel_answered_not_run_lets_nothing_start_later() {
+fn no_task_may_start_after_a_cancel_answered_not_run() {
     let cancelled = HistoryEntry {
         kind: RequestKind::Cancel,
         ..refused(150.0)
@@ -136,7 +136,7 @@
 }
 
 #[test]
-fn a_reused_key_refuses_only_the_other_body() {
+fn key_reused_applies_only_to_the_other_body() {
     let other = HistoryEntry {
         status: 409,
         reason: "key_reused".to_owned(),
@@ -158,13 +158,13 @@
 }
 
 #[test]
-fn a_complete_answer_that_lacks_a_result_is_partial() {
+fn complete_answer_without_a_result_is_partial() {
     let mut answer = complete();
     answer.results.pop();
     let found = violations(&[answer], &both_starts());
     assert!(matches!(
         found[..],
-        [Violation::Partial {
+        [Violation::PartialResults {
             results: 1,
             tasks: 2,
             ..
@@ -173,32 +173,32 @@
 }
 
 #[test]
-fn a_failed_answer_with_results_is_partial() {
+fn failed_answer_with_results_is_partial() {
     let answer = HistoryEntry {
         state: "failed".to_owned(),
         ..complete()
     };
     let found = violations(&[answer], &both_starts());
-    assert!(matches!(found[..], [Violation::Partial { .. }]));
+    assert!(matches!(found[..], [Violation::PartialResults { .. }]));
 }
 
 #[test]
-fn results_of_other_tasks_are_crossed_and_two_answers_differ() {
+fn swapped_results_are_wrong_and_conflict_with_the_first_answer() {
     let mut swapped = complete();
     swapped.results.swap(0, 1);
     let found = violations(&[complete(), swapped], &both_starts());
     assert!(matches!(
         found[..],
         [
-            Violation::Crossed { index: 0, .. },
-            Violation::Crossed { index: 1, .. },
-            Violation::TwoAnswers { .. },
+            Violation::WrongResult { index: 0, .. },
+            Violation::WrongResult { index: 1, .. },
+            Violation::ConflictingAnswers { .. },
         ]
     ));
 }
 
 #[test]
-fn a_result_of_a_task_that_never_started_is_found() {
+fn result_of_a_task_that_never_started_is_found() {
     let found = violations(&[complete()], &[start(0, 1, 110)]);
     assert!(matches!(
         found[..],
--- a/crates/fakes/tests/load.rs
+++ b/crates/fakes/tests/load.rs
@@ -1,4 +1,4 @@
-//! The load tool plans from its seed alone, and its histories pass the checker.
+//! The load generator's plan depends only on its seed, and its histories pass the checker.
 
 use std::{
     net::SocketAddr,
@@ -15,7 +15,7 @@
 use trefoil_fakes::{
     check::check,
     http::{self, CloseConnection, HandlerResult, Server},
-    load::{self, Bursts, LoadOptions, Policy, law::Law, plan::Plan},
+    load::{self, Bursts, LoadOptions, Policy, distribution::Distribution, plan::Plan},
     worker::{self, WorkerOptions, faults::WorkerFaultUpdate},
 };
 
@@ -28,8 +28,8 @@
 fn short_run() -> LoadOptions {
     LoadOptions {
         rate_jobs_per_s: 100.0,
-        tasks: Law::Uniform { min: 1.0, max: 4.0 },
-        run_time: Law::Fixed(5.0),
+        tasks: Distribution::Uniform { min: 1.0, max: 4.0 },
+        run_time: Distribution::Fixed(5.0),
         duration_ms: 300,
         deadline_ms: 2_000,
         history: true,
@@ -37,24 +37,24 @@
     }
 }
 
-fn mean(law: &str) -> f64 {
-    let law: Law = law.parse().unwrap();
+fn mean(text: &str) -> f64 {
+    let distribution: Distribution = text.parse().unwrap();
     let mut random = ChaCha8Rng::seed_from_u64(7);
-    let sum: f64 = (0..SAMPLES).map(|_| law.sample(&mut random)).sum();
+    let sum: f64 = (0..SAMPLES).map(|_| distribution.sample(&mut random)).sum();
     sum / SAMPLES as f64
 }
 
 #[test]
-fn laws_have_their_means() {
+fn distributions_have_their_means() {
     assert_eq!(mean("250"), 250.0);
     assert!((mean("uniform:50:150") - 100.0).abs() < 2.0);
     assert!((mean("lognormal:200:0.5") - 200.0).abs() < 4.0);
     assert!((mean("bimodal:100:2000:5") - 195.0).abs() < 12.0);
-    assert!("uniform:5".parse::<Law>().is_err());
+    assert!("uniform:5".parse::<Distribution>().is_err());
 }
 
 #[test]
-fn a_plan_follows_from_its_seed_and_its_bursts() {
+fn plan_is_reproducible_and_follows_bursts() {
     let options = LoadOptions {
         duration_ms: 20_000,
         bursts: Some(Bursts {
@@ -68,17 +68,17 @@
     let plan: Vec<_> = Plan::new(&options).collect();
     assert_eq!(plan, Plan::new(&options).collect::<Vec<_>>());
     let in_bursts = plan.iter().filter(|job| job.at_ms % 2_000.0 < 500.0);
-    // Ten bursts of half a second at 500 jobs/s; elsewhere 15 s at 100 jobs/s.
+    // Ten bursts of 0.5 s at 500 jobs/s, and 15 s at 100 jobs/s.
     let (in_bursts, all) = (in_bursts.count() as f64, plan.len() as f64);
     assert!((in_bursts - 2_500.0).abs() < 250.0, "{in_bursts}");
     assert!((all - 4_000.0).abs() < 320.0, "{all}");
 }
 
 #[tokio::test]
-async fn a_baseline_completes_its_jobs_and_passes_the_checker() {
+async fn baseline_completes_its_jobs_and_passes_the_checker() {
     let options = WorkerOptions {
         count: 3,
-        // So many that none is refused for want of a slot on a busy machine.
+        // Enough that no task is refused for lack of a slot, even on a loaded machine.
         slots: 1_000,
         ..WorkerOptions::default()
     };
@@ -105,13 +105,13 @@
     assert!(report.waste.worker_messages > 0);
     assert_eq!(workers.counters().refused_busy, 0);
     assert_eq!(report.waste.unread, 0);
-    let found = check(&history, &workers.starts());
-    assert_eq!(found.violations, []);
-    assert_eq!(found.complete as u64, report.complete);
+    let checked = check(&history, &workers.starts());
+    assert_eq!(checked.violations, []);
+    assert_eq!(checked.complete as u64, report.complete);
 }
 
-/// Refuses each first submission, and completes the second.
-async fn answer(seen: Arc<AtomicUsize>, request: Request<Incoming>) -> HandlerResult {
+/// Refuses every other submission and completes the others.
+async fn handle(requests: Arc<AtomicUsize>, request: Request<Incoming>) -> HandlerResult {
     if request.uri().path() == "/metrics" {
         return http::ok_json(&0);
     }
@@ -119,7 +119,7 @@
     let key = key.ok_or(CloseConnection)?;
     let body = http::read_body(request).await?;
     let body: Value = http::parse_json(&body).map_err(|_| CloseConnection)?;
-    if seen.fetch_add(1, Ordering::Relaxed).is_multiple_of(2) {
+    if requests.fetch_add(1, Ordering::Relaxed).is_multiple_of(2) {
         let problem = json!({
             "type": "urn:trefoilbay:problem:overload", "verdict": "not_run", "retry_after_ms": 1,
         });
@@ -140,18 +140,21 @@
 fn start_entry() -> Server {
     let listener = std::net::TcpListener::bind(local()).unwrap();
     listener.set_nonblocking(true).unwrap();
-    let seen = Arc::new(AtomicUsize::new(0));
+    let requests = Arc::new(AtomicUsize::new(0));
     let listener = TcpListener::from_std(listener).unwrap();
-    Server::start(listener, move |request| answer(Arc::clone(&seen), request)).unwrap()
+    Server::start(listener, move |request| {
+        handle(Arc::clone(&requests), request)
+    })
+    .unwrap()
 }
 
 #[tokio::test]
-async fn a_refusal_is_counted_by_its_reason_and_asked_again() {
+async fn refusals_are_counted_by_reason_and_retried() {
     let entry = start_entry();
     let options = LoadOptions {
         entries: vec![entry.address()],
         obey_retry_after: true,
-        ask_again_max: 100,
+        retries_max: 100,
         ..short_run()
     };
     let (report, history) = load::run(&options).await;
@@ -170,7 +173,7 @@
 }
 
 #[tokio::test]
-async fn a_reused_key_carries_another_body() {
+async fn reused_key_is_sent_with_another_body() {
     let entry = start_entry();
     let options = LoadOptions {
         entries: vec![entry.address()],
--- a/crates/fakes/tests/platform.rs
+++ b/crates/fakes/tests/platform.rs
@@ -1,4 +1,4 @@
-//! The stand-in for the platform keeps etcd's promises, and breaks them on order.
+//! The fake platform behaves as etcd does, and injects faults on request.
 
 use std::{net::SocketAddr, time::Duration};
 
@@ -31,7 +31,8 @@
     serde_json::from_slice(&reply.unwrap().body).unwrap()
 }
 
-fn swap(key: &str, mod_revision: &str, value: &str) -> Value {
+/// Transaction that writes `value` if the key is at `mod_revision`, and reads the key otherwise.
+fn cas(key: &str, mod_revision: &str, value: &str) -> Value {
     json!({
         "compare": [{
             "key": b64(key), "target": "MOD", "result": "EQUAL", "mod_revision": mod_revision,
@@ -66,13 +67,13 @@
 #[tokio::test]
 async fn only_one_of_two_swaps_of_the_same_revision_succeeds() {
     let (platform, client) = start().await;
-    let (one, two) = tokio::join!(
-        call(&client, &platform, "/v3/kv/txn", swap("a/x", "0", "one")),
-        call(&client, &platform, "/v3/kv/txn", swap("a/x", "0", "two")),
+    let (first, second) = tokio::join!(
+        call(&client, &platform, "/v3/kv/txn", cas("a/x", "0", "one")),
+        call(&client, &platform, "/v3/kv/txn", cas("a/x", "0", "two")),
     );
-    let (winner, loser) = match one["succeeded"] == true {
-        true => (one, two),
-        false => (two, one),
+    let (winner, loser) = match first["succeeded"] == true {
+        true => (first, second),
+        false => (second, first),
     };
     assert_eq!(winner["succeeded"], true);
     assert_eq!(winner["header"]["revision"], "2");
@@ -83,36 +84,36 @@
 }
 
 #[tokio::test]
-async fn a_watch_resumes_out_of_history_and_goes_on() {
+async fn watch_replays_history_and_continues() {
     let (platform, client) = start().await;
     for key in ["a/1", "b/1", "a/2"] {
         let body = json!({"key": b64(key), "value": b64("v")});
         call(&client, &platform, "/v3/kv/put", body).await;
     }
     let mut stream = watch(&client, &platform, "3").await;
-    let kept = next_line(&mut stream).await;
-    let events = kept["result"]["events"].as_array().unwrap();
+    let replayed = next_line(&mut stream).await;
+    let events = replayed["result"]["events"].as_array().unwrap();
     assert_eq!(events.len(), 1);
     assert_eq!(events[0]["kv"]["key"], b64("a/2"));
     assert_eq!(events[0]["kv"]["mod_revision"], "4");
     let body = json!({"key": b64("a/1")});
     call(&client, &platform, "/v3/kv/deleterange", body).await;
-    let news = next_line(&mut stream).await;
-    assert_eq!(news["result"]["events"][0]["type"], "DELETE");
+    let next = next_line(&mut stream).await;
+    assert_eq!(next["result"]["events"][0]["type"], "DELETE");
     assert_eq!(platform.counters().watches_waiting, 1);
 }
 
 #[tokio::test]
-async fn a_write_whose_answer_was_dropped_took_effect() {
+async fn write_with_dropped_response_takes_effect() {
     let (platform, client) = start().await;
     platform.update_faults(&FaultUpdate {
         drop_answers: Some(1),
         ..FaultUpdate::default()
     });
-    let body = swap("a/x", "0", "one").to_string();
+    let body = cas("a/x", "0", "one").to_string();
     let lost = client.post(platform.address, "/v3/kv/txn", body).await;
     assert!(lost.is_err());
-    let again = call(&client, &platform, "/v3/kv/txn", swap("a/x", "0", "two")).await;
+    let again = call(&client, &platform, "/v3/kv/txn", cas("a/x", "0", "two")).await;
     assert_eq!(again["succeeded"], false);
     let read = &again["responses"][0]["response_range"]["kvs"][0];
     assert_eq!(read["value"], b64("one"));
@@ -120,7 +121,7 @@
 }
 
 #[tokio::test]
-async fn an_outage_ends_watches_and_refuses_calls() {
+async fn outage_closes_watches_and_refuses_calls() {
     let (platform, client) = start().await;
     let mut stream = watch(&client, &platform, "0").await;
     platform.update_faults(&FaultUpdate {
@@ -134,7 +135,7 @@
 }
 
 #[tokio::test]
-async fn an_expired_lease_takes_its_keys_along() {
+async fn expired_lease_deletes_its_keys() {
     let (platform, client) = start().await;
     let lease = json!({"TTL": "60", "ID": "0"});
     let granted = call(&client, &platform, "/v3/lease/grant", lease).await;
@@ -150,7 +151,7 @@
 }
 
 #[tokio::test]
-async fn the_instance_list_lags_and_then_shows_what_was_set() {
+async fn instance_list_changes_after_its_lag() {
     let (platform, client) = start().await;
     platform.update_faults(&FaultUpdate {
         instance_list_lag_ms: Some(300),
@@ -182,7 +183,7 @@
 }
 
 #[tokio::test]
-async fn a_blocked_instance_is_cut_off_and_others_are_not() {
+async fn only_blocked_instances_are_refused() {
     let (platform, client) = start().await;
     platform.update_faults(&FaultUpdate {
         block_instances: Some(vec!["one".to_owned()]),
@@ -201,7 +202,7 @@
 }
 
 #[tokio::test]
-async fn fields_of_default_value_can_be_left_out() {
+async fn fields_with_default_values_can_be_omitted() {
     let options = PlatformOptions {
         omit_defaults: true,
         ..PlatformOptions::default()
@@ -211,8 +212,8 @@
     let read = call(&client, &platform, "/v3/kv/range", absent).await;
     let header = json!({"cluster_id": "1", "member_id": "1", "revision": "1"});
     assert_eq!(read, json!({"header": header}));
-    call(&client, &platform, "/v3/kv/txn", swap("a/x", "0", "one")).await;
-    let lost = call(&client, &platform, "/v3/kv/txn", swap("a/x", "0", "two")).await;
+    call(&client, &platform, "/v3/kv/txn", cas("a/x", "0", "one")).await;
+    let lost = call(&client, &platform, "/v3/kv/txn", cas("a/x", "0", "two")).await;
     assert_eq!(lost.get("succeeded"), None);
     let kv = &lost["responses"][0]["response_range"]["kvs"][0];
     assert_eq!((&kv["version"], kv.get("lease")), (&json!("1"), None));
@@ -223,7 +224,7 @@
 }
 
 #[tokio::test]
-async fn a_slow_write_takes_effect_after_its_caller_gave_up() {
+async fn slow_write_takes_effect_after_its_client_disconnects() {
     let (platform, client) = start().await;
     let mut stream = watch(&client, &platform, "0").await;
     platform.update_faults(&FaultUpdate {
--- a/crates/fakes/tests/worker.rs
+++ b/crates/fakes/tests/worker.rs
@@ -1,4 +1,4 @@
-//! Backend servers hold slots, refuse before start, and record every start.
+//! Fake backend servers limit concurrent tasks by slots, inject faults and record every start.
 
 use std::{net::SocketAddr, time::Duration};
 
@@ -31,11 +31,11 @@
 }
 
 #[tokio::test]
-async fn a_task_beyond_the_slots_is_refused_and_not_started() {
+async fn task_without_a_free_slot_is_refused_before_its_start() {
     let (workers, client) = start(1).await;
     let address = workers.addresses[0];
     let body = r#"{"run_ms":60000}"#;
-    let holder = tokio::spawn({
+    let running = tokio::spawn({
         let client = client.clone();
         async move { run(&client, address, body).await }
     });
@@ -48,11 +48,11 @@
     assert_eq!(elsewhere.unwrap().status, StatusCode::OK);
     let counters = workers.counters();
     assert_eq!((counters.starts, counters.refused_busy), (2, 1));
-    holder.abort();
+    running.abort();
 }
 
 #[tokio::test]
-async fn an_answer_echoes_the_task_and_its_result() {
+async fn response_echoes_the_task_and_its_result() {
     let (workers, client) = start(1).await;
     let body = r#"{"run_ms":1,"result":{"token":"t"}}"#;
     let reply = run(&client, workers.addresses[0], body).await.unwrap();
@@ -66,7 +66,7 @@
 }
 
 #[tokio::test]
-async fn faults_are_ordered_by_worker() {
+async fn faults_are_set_for_single_servers() {
     let (workers, client) = start(1).await;
     workers.update_faults(&WorkerFaultUpdate {
         worker: Some(0),
@@ -86,12 +86,12 @@
 }
 
 #[tokio::test]
-async fn a_caller_that_goes_away_leaves_its_slot_held() {
+async fn task_keeps_its_slot_after_its_client_disconnects() {
     let (workers, client) = start(1).await;
     let address = workers.addresses[0];
     let body = r#"{"run_ms":60000}"#;
-    let given_up = timeout(Duration::from_millis(50), run(&client, address, body)).await;
-    assert!(given_up.is_err());
+    let timed_out = timeout(Duration::from_millis(50), run(&client, address, body)).await;
+    assert!(timed_out.is_err());
     while workers.counters().dropped == 0 {
         sleep(Duration::from_millis(1)).await;
     }
--- a/crates/replay/src/arrivals.rs
+++ b/crates/replay/src/arrivals.rs
@@ -2,7 +2,7 @@
 
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
-use trefoil_fakes::load::law::{Law, exponential};
+use trefoil_fakes::load::distribution::{Distribution, exponential};
 use trefoil_schema::dispatch::{Job, Phase};
 
 use crate::pattern::{Disturbance, JobClass, Pattern};
@@ -25,7 +25,7 @@
 /// Maximum run time, as a multiple of the class's mean.
 const RUN_FACTOR_MAX: f64 = 4.0;
 /// CPU request of a task: about half a standard worker.
-const CPU_MILLICORES: Law = Law::Lognormal {
+const CPU_MILLICORES: Distribution = Distribution::Lognormal {
     mean: 8000.0,
     sigma: 0.2,
 };
@@ -118,12 +118,12 @@
 
 fn arrival(pattern: &Pattern, class: usize, at_ms: u64, random: &mut ChaCha8Rng) -> Arrival {
     let shape = &pattern.classes[class];
-    let run_law = Law::Lognormal {
+    let run_time_distribution = Distribution::Lognormal {
         mean: shape.run_mean_ms,
         sigma: CLASS_SIGMA,
     };
     let run_max_ms = shape.run_mean_ms * RUN_FACTOR_MAX;
-    let run_ms = run_law.sample(random).clamp(1.0, run_max_ms);
+    let run_ms = run_time_distribution.sample(random).clamp(1.0, run_max_ms);
     let tasks = sample_task_count(shape, random);
     let task_noise = noise_factor(TASK_SIGMA);
     let run_times_ms: Vec<u64> = (0..tasks)
@@ -152,16 +152,16 @@
 }
 
 /// Lognormal factor of mean 1.
-fn noise_factor(sigma: f64) -> Law {
-    Law::Lognormal { mean: 1.0, sigma }
+fn noise_factor(sigma: f64) -> Distribution {
+    Distribution::Lognormal { mean: 1.0, sigma }
 }
 
 fn sample_task_count(shape: &JobClass, random: &mut ChaCha8Rng) -> u32 {
-    let law = Law::Lognormal {
+    let distribution = Distribution::Lognormal {
         mean: shape.tasks_mean,
         sigma: CLASS_SIGMA,
     };
-    let tasks = law.sample(random).round();
+    let tasks = distribution.sample(random).round();
     tasks.clamp(1.0, shape.tasks_mean * TASKS_FACTOR_MAX) as u32
 }
 
