--- a/crates/fakes/src/check/violation.rs
+++ b/crates/fakes/src/check/violation.rs
@@ -3,22 +3,19 @@
 use derive_more::Display;
 
 /// A violation of the service's guarantees.
+#[expect(missing_docs, reason = "most fields explain themselves")]
 #[derive(Clone, Debug, Display, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Violation {
     /// A task started more than once.
     #[display("double start: task {index} of {key} started {starts} times")]
     DoubleStart {
-        /// Key of the job.
         key: String,
-        /// Index of the task.
         index: u32,
-        /// Number of starts.
         starts: usize,
     },
     /// A start whose task header has an unknown format.
     #[display("unnamed start: {worker} started a task named {task:?}")]
     UnnamedStart {
-        /// Address of the backend server.
         worker: String,
         /// Value of the task header.
         task: String,
@@ -26,7 +23,6 @@
     /// A request got the verdict `not_run`, but tasks of its key were started.
     #[display("false not_run: {key} at {entry} (status {status}, {reason}), but {starts} starts")]
     FalseNotRun {
-        /// Key of the job.
         key: String,
         /// Address that the request was sent to.
         entry: String,
@@ -40,25 +36,19 @@
     /// A complete job lacks results, or another response has some.
     #[display("partial results: {key} at {entry} is {state} with {results} of {tasks} results")]
     PartialResults {
-        /// Key of the job.
         key: String,
         /// Address that the request was sent to.
         entry: String,
-        /// State of the job in the response.
         state: String,
-        /// Number of results.
         results: usize,
-        /// Number of submitted tasks.
         tasks: usize,
     },
     /// A result belongs to another task.
     #[display("wrong result: task {index} of {key} at {entry} sent {sent} and got {got}")]
     WrongResult {
-        /// Key of the job.
         key: String,
         /// Address that the request was sent to.
         entry: String,
-        /// Index of the task.
         index: usize,
         /// Token of the submitted task.
         sent: String,
@@ -68,17 +58,14 @@
     /// A complete job has a result of a task that was never started.
     #[display("result without start: task {index} of {key} at {entry}")]
     ResultWithoutStart {
-        /// Key of the job.
         key: String,
         /// Address that the request was sent to.
         entry: String,
-        /// Index of the task.
         index: usize,
     },
     /// Two complete responses for one key have different results.
     #[display("conflicting answers: {key} at {first_entry} and at {second_entry} differ")]
     ConflictingAnswers {
-        /// Key of the job.
         key: String,
         /// Address that sent the first response.
         first_entry: String,
--- a/crates/fakes/src/load/distribution.rs
+++ b/crates/fakes/src/load/distribution.rs
@@ -8,6 +8,7 @@
 const PERCENT: f64 = 100.0;
 
 /// A probability distribution; its parameters have the unit of its values.
+#[expect(missing_docs, reason = "most fields explain themselves")]
 #[derive(Clone, Copy, Debug, Display, PartialEq)]
 pub enum Distribution {
     /// A constant.
@@ -15,16 +16,10 @@
     Fixed(f64),
     /// The uniform distribution between two bounds.
     #[display("uniform:{min}:{max}")]
-    Uniform {
-        /// Lower bound.
-        min: f64,
-        /// Upper bound.
-        max: f64,
-    },
+    Uniform { min: f64, max: f64 },
     /// The lognormal distribution.
     #[display("lognormal:{mean}:{sigma}")]
     Lognormal {
-        /// Mean.
         mean: f64,
         /// Standard deviation of the logarithm.
         sigma: f64,
@@ -107,7 +102,7 @@
     }
 }
 
-/// True with a probability in percent.
+/// True with a probability of `percent`.
 pub(crate) fn chance(random: &mut impl Rng, percent: f64) -> bool {
     random.random::<f64>() * PERCENT < percent
 }
--- a/crates/fakes/src/load/stats.rs
+++ b/crates/fakes/src/load/stats.rs
@@ -52,19 +52,14 @@
 }
 
 /// Summary statistics of a distribution.
+#[expect(missing_docs, reason = "the fields explain themselves")]
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize)]
 pub struct Summary {
-    /// Number of values.
     pub count: u64,
-    /// Mean.
     pub mean: f64,
-    /// Median.
     pub p50: f64,
-    /// 99th percentile.
     pub p99: f64,
-    /// 99.9th percentile.
     pub p999: f64,
-    /// Largest.
     pub max: f64,
 }
 
--- a/crates/fakes/src/platform/messages.rs
+++ b/crates/fakes/src/platform/messages.rs
@@ -62,7 +62,6 @@
 /// One key as stored.
 #[derive(Clone, Debug, Default, Serialize)]
 pub struct KeyValue {
-    /// The key.
     pub key: Blob,
     /// Revision of its creation.
     pub create_revision: Int64,
@@ -70,7 +69,6 @@
     pub mod_revision: Int64,
     /// Number of changes since its creation, which counts as the first.
     pub version: Int64,
-    /// The value.
     pub value: Blob,
     /// ID of the attached lease; 0 for none.
     pub lease: Int64,
@@ -95,9 +93,7 @@
 /// Response to [`RangeRequest`].
 #[derive(Clone, Debug, Default, Serialize)]
 pub struct RangeResponse {
-    /// Response header.
     pub header: Header,
-    /// The keys, in order.
     pub kvs: Vec<KeyValue>,
     /// Whether `limit` left out keys.
     pub more: bool,
@@ -109,9 +105,7 @@
 #[derive(Clone, Debug, Default, Deserialize)]
 #[serde(default)]
 pub struct PutRequest {
-    /// The key.
     pub key: Blob,
-    /// The value.
     pub value: Blob,
     /// ID of the lease to attach; 0 for none.
     pub lease: Int64,
@@ -120,7 +114,6 @@
 /// Response to [`PutRequest`].
 #[derive(Clone, Debug, Default, Serialize)]
 pub struct PutResponse {
-    /// Response header.
     pub header: Header,
 }
 
@@ -137,7 +130,6 @@
 /// Response to [`DeleteRangeRequest`].
 #[derive(Clone, Debug, Default, Serialize)]
 pub struct DeleteRangeResponse {
-    /// Response header.
     pub header: Header,
     /// Number of keys deleted.
     pub deleted: Int64,
@@ -234,7 +226,6 @@
 /// Response to [`TxnRequest`].
 #[derive(Clone, Debug, Default, Serialize)]
 pub struct TxnResponse {
-    /// Response header.
     pub header: Header,
     /// Whether all conditions held.
     pub succeeded: bool,
@@ -257,7 +248,6 @@
 /// Response to [`LeaseRequest`].
 #[derive(Clone, Copy, Debug, Default, Serialize)]
 pub struct LeaseResponse {
-    /// Response header.
     pub header: Header,
     /// ID of the lease.
     #[serde(rename = "ID")]
@@ -310,7 +300,6 @@
 /// A message of a watch.
 #[derive(Clone, Debug, Default, Serialize)]
 pub struct WatchResponse {
-    /// Response header.
     pub header: Header,
     /// ID of the watch.
     pub watch_id: Int64,
--- a/crates/replay/src/bin/trefoil-replay.rs
+++ b/crates/replay/src/bin/trefoil-replay.rs
@@ -11,7 +11,7 @@
 use trefoil_replay::stats::{ReplayStats, Table};
 use trefoil_replay::{arrivals, bound, simulation};
 
-/// Admits every job and refuses one only when its objective cannot be met anymore.
+/// Admits every job and refuses queued ones only once they have expired.
 const ADMIT_ALL: Settings = Settings { admit_all: true };
 
 fn main() -> Result<(), Box<dyn Error>> {
@@ -52,7 +52,7 @@
         .arg(
             Arg::new("admit-all")
                 .long("admit-all")
-                .help("disable admission control")
+                .help("admit every job and refuse queued ones only once they have expired")
                 .action(ArgAction::SetTrue),
         )
         .arg(
--- a/crates/replay/src/pattern.rs
+++ b/crates/replay/src/pattern.rs
@@ -38,6 +38,10 @@
 }
 
 /// A deviation from the base load. Times count from the first possible arrival.
+#[expect(
+    missing_docs,
+    reason = "`from_ms` and the exclusive end `to_ms` explain themselves"
+)]
 #[derive(Clone, Copy, Debug)]
 pub enum Disturbance {
     /// A higher arrival rate of one class, or of all.
@@ -46,9 +50,7 @@
         class: Option<usize>,
         /// Factor on the base rate.
         factor: f64,
-        /// Start time.
         from_ms: u64,
-        /// End time, exclusive.
         to_ms: u64,
     },
     /// Callers that give up before their answer.
@@ -57,27 +59,21 @@
         share: f64,
         /// Time from the request until the caller gives up.
         after_ms: u64,
-        /// Start time.
         from_ms: u64,
-        /// End time, exclusive.
         to_ms: u64,
     },
     /// Jobs whose tasks fail on every attempt.
     AlwaysFailing {
         /// Share of jobs.
         share: f64,
-        /// Start time.
         from_ms: u64,
-        /// End time, exclusive.
         to_ms: u64,
     },
     /// Callers of the first failure domain that move to the second.
     CallersMove {
         /// Share of the callers.
         share: f64,
-        /// Start time.
         from_ms: u64,
-        /// End time, exclusive.
         to_ms: u64,
     },
     /// Workers that announce their drain and exit 4 s later.
@@ -98,18 +94,11 @@
     Unanswered {
         /// Share of orders.
         share: f64,
-        /// Start time.
         from_ms: u64,
-        /// End time, exclusive.
         to_ms: u64,
     },
     /// No entry can be reached; jobs that arrive meanwhile are all submitted at its end.
-    Outage {
-        /// Start time.
-        from_ms: u64,
-        /// End time, exclusive.
-        to_ms: u64,
-    },
+    Outage { from_ms: u64, to_ms: u64 },
 }
 
 /// What callers do after a refusal.
