--- a/crates/replay/src/bin/trefoil-replay.rs
+++ b/crates/replay/src/bin/trefoil-replay.rs
@@ -98,7 +98,7 @@
 
 fn compare(matches: &ArgMatches, file: &std::path::Path) -> Result<(), Box<dyn Error>> {
     let mut rows: Vec<Comparison> = Vec::new();
-    println!("| pattern, seed | every job admitted | admission control |");
+    println!("| pattern, seed | every job admitted | judged |");
     println!("|---|---|---|");
     for (pattern, seed) in replays(matches) {
         let share = |settings| {
--- a/crates/replay/src/plot.rs
+++ b/crates/replay/src/plot.rs
@@ -60,7 +60,7 @@
     let blue = RGBColor(40, 100, 170);
     for (label, color, shift) in [
         ("every job admitted", gray, 0.0),
-        ("admission control", blue, half),
+        ("judged", blue, half),
     ] {
         let value = |row: &Comparison| match shift > 0.0 {
             true => row.admission_control,
