--- a/crates/replay/src/plot.rs
+++ b/crates/replay/src/plot.rs
@@ -58,10 +58,7 @@
     let half = BARS_SHARE / 2.0;
     let gray = RGBColor(190, 190, 190);
     let blue = RGBColor(40, 100, 170);
-    for (label, color, shift) in [
-        ("every job admitted", gray, 0.0),
-        ("judged", blue, half),
-    ] {
+    for (label, color, shift) in [("every job admitted", gray, 0.0), ("judged", blue, half)] {
         let value = |row: &Comparison| match shift > 0.0 {
             true => row.admission_control,
             false => row.admit_all,
