--- a/src/sources.rs
+++ b/src/sources.rs
@@ -1,4 +1,4 @@
-//! Outside systems that configuration and membership come from.
+//! External sources of the configuration and of the list of instances.
 
 pub mod backoff;
 pub mod config;
--- a/src/sources/backoff.rs
+++ b/src/sources/backoff.rs
@@ -1,10 +1,10 @@
-//! Pauses between failed calls: doubling, with jitter.
+//! Exponential backoff with jitter.
 
 use std::time::Duration;
 
 use trefoil_schema::settings::PlatformSettings;
 
-/// The next pause, longer after each failure.
+/// Delays between retries, doubled after each failure.
 #[derive(Clone, Debug)]
 pub struct Backoff {
     min_ms: u64,
@@ -13,7 +13,7 @@
 }
 
 impl Backoff {
-    /// Pauses between the settings' bounds.
+    /// Creates a backoff with the limits of the settings.
     pub fn new(settings: &PlatformSettings) -> Self {
         let min_ms = settings.backoff_min_ms.max(1);
         Self {
@@ -23,16 +23,16 @@
         }
     }
 
-    /// The next pause: half of it fixed, half drawn at random, so that
-    /// instances that failed together do not come back together.
-    pub fn next_pause(&mut self) -> Duration {
+    /// Returns the next delay. Half of it is random, so that instances whose calls
+    /// failed at the same time do not retry at the same time.
+    pub fn next_delay(&mut self) -> Duration {
         let full_ms = self.next_ms;
         self.next_ms = full_ms.saturating_mul(2).min(self.max_ms);
         let jitter_ms = rand::random_range(0..=full_ms / 2);
         Duration::from_millis(full_ms.div_ceil(2) + jitter_ms)
     }
 
-    /// Starts over after a success.
+    /// Returns to the minimum delay after a success.
     pub fn reset(&mut self) {
         self.next_ms = self.min_ms;
     }
--- a/src/sources/config.rs
+++ b/src/sources/config.rs
@@ -1,9 +1,9 @@
-//! Keeps the configuration in force in step with the store.
+//! Keeps the current configuration up to date with the store.
 //!
-//! One or two instances of a failure domain hold a watch; the others are fed
-//! by peers. Either way [`ConfigLog`] decides what is applied, so that no
-//! instance goes backwards. While the store cannot be reached the last
-//! configuration stays in force, and a fresh instance takes it from a peer.
+//! One or two instances of a failure domain watch the store; the others receive
+//! changes from peers. [`ConfigLog`] applies both and never goes back to an earlier
+//! revision. While the store is unreachable, the last configuration stays in effect,
+//! and a new instance receives it from a peer.
 
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 
@@ -20,16 +20,16 @@
 mod sync;
 pub mod write;
 
-/// Part of the store's keys that holds resources, after the prefix.
+/// Follows the configured prefix in the store's keys of resources.
 const CONFIG_PART: &str = "config/";
 
-/// Starts the task that follows the store.
+/// Starts the task that synchronizes the configuration with the store.
 #[derive(Debug)]
 pub struct ConfigSync;
 
 impl ConfigSync {
-    /// Follows the store until the last handle is dropped. It starts watching;
-    /// see [`ConfigHandle::set_watching`].
+    /// Synchronizes the configuration until the last handle is dropped. Watching is
+    /// initially on; see [`ConfigHandle::set_watching`].
     pub fn start(store: Arc<dyn PlatformStore>, settings: &Settings, log: Logger) -> ConfigHandle {
         let prefix = format!("{}{CONFIG_PART}", settings.platform.prefix);
         let shared = Shared {
@@ -40,13 +40,13 @@
             prefix,
         };
         let shared = Arc::new(shared);
-        let task = sync::Task::new(&shared, &settings.platform, log);
+        let task = sync::SyncTask::new(&shared, &settings.platform, log);
         tokio::spawn(task.run());
         ConfigHandle { shared }
     }
 }
 
-/// The configuration in force, shared by the tasks of an instance.
+/// Handle to the current configuration, shared by the tasks of an instance.
 #[derive(Clone)]
 pub struct ConfigHandle {
     shared: Arc<Shared>,
@@ -61,24 +61,23 @@
 }
 
 impl ConfigHandle {
-    /// The configuration in force.
+    /// Returns the current configuration.
     pub fn current(&self) -> Arc<ConfigSnapshot> {
         self.shared.log().snapshot()
     }
 
-    /// Gives every configuration that comes into force; a slow reader sees
-    /// only the newest.
+    /// Returns a receiver of the latest configuration.
     pub fn subscribe(&self) -> watch::Receiver<Arc<ConfigSnapshot>> {
         self.shared.snapshots.subscribe()
     }
 
-    /// What a peer at `after_revision` lacks.
+    /// Returns the changes after `after_revision`, for a peer.
     pub fn changes_after(&self, after_revision: u64) -> ConfigChanges {
         self.shared.log().changes_after(after_revision)
     }
 
-    /// Applies what a peer sent; gives a request to send back where changes in
-    /// between are missing.
+    /// Applies changes from a peer. If earlier changes are missing, returns a request
+    /// to send to the peer.
     pub fn apply_from_peer(&self, changes: &ConfigChanges) -> Option<ConfigRequest> {
         match self.shared.update(|log| log.apply_message(changes)) {
             Applied::Advanced | Applied::AlreadyApplied => None,
@@ -86,42 +85,41 @@
         }
     }
 
-    /// The request to send to a peer that has `peer_revision` in force, where
-    /// this instance is behind it.
+    /// Returns the request to send to a peer at `peer_revision`, if this instance is
+    /// behind it.
     pub fn request_if_behind(&self, peer_revision: u64) -> Option<ConfigRequest> {
         let after_revision = self.shared.log().revision();
         (after_revision < peer_revision).then_some(ConfigRequest { after_revision })
     }
 
-    /// Whether this instance holds a watch itself or relies on its peers.
+    /// Sets whether this instance watches the store or relies on its peers.
     pub fn set_watching(&self, watching: bool) {
         self.shared
             .watching
-            .send_if_modified(|held| std::mem::replace(held, watching) != watching);
+            .send_if_modified(|current| std::mem::replace(current, watching) != watching);
     }
 
-    /// The switch of [`Self::set_watching`], for other reads of the store that
-    /// the same instances make.
+    /// Receiver of the value of [`Self::set_watching`].
     pub fn watching(&self) -> watch::Receiver<bool> {
         self.shared.watching.subscribe()
     }
 
-    /// Whether the last call to the store was answered.
+    /// Whether the last call to the store succeeded.
     pub fn store_reachable(&self) -> bool {
         self.shared.store.reachable()
     }
 
-    /// Stored values that could not be read, so far.
+    /// Number of invalid stored values read so far.
     pub fn unreadable(&self) -> u64 {
         self.shared.log().unreadable()
     }
 
-    /// A resource as it is in force here.
+    /// Returns a resource of the current configuration, with its stored value.
     pub fn value(&self, key: &ResourceKey) -> Option<StoredValue> {
         self.shared.log().values().get(key).cloned()
     }
 
-    /// All resources of a kind as they are in force here, by name.
+    /// Returns all resources of a kind, sorted by name.
     pub fn values(&self, kind: Kind) -> Vec<(ResourceKey, StoredValue)> {
         let log = self.shared.log();
         let of_kind = log.values().iter().filter(|(key, _)| key.kind == kind);
@@ -130,25 +128,25 @@
             .collect()
     }
 
-    /// The store's key of a resource.
+    /// Returns the key in the store of a resource.
     pub fn store_key(&self, key: &ResourceKey) -> String {
         format!("{}{key}", self.shared.prefix)
     }
 
-    /// The resource behind a key of the store.
+    /// Parses a key in the store; `None` if it is not the key of a resource.
     pub fn resource_key(&self, store_key: &str) -> Option<ResourceKey> {
         self.shared.resource_key(store_key)
     }
 }
 
 impl Shared {
-    // A reader of a poisoned log still sees whole configurations: the snapshot
-    // is replaced in one step.
+    // Poisoning is ignored: the snapshot is replaced as a whole, so that it is
+    // consistent even after a panic.
     fn log(&self) -> MutexGuard<'_, ConfigLog> {
         self.log.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    // Published under the lock, so that subscribers never see a step back.
+    // Published under the lock, so that subscribers never receive an older snapshot.
     fn update(&self, change: impl FnOnce(&mut ConfigLog) -> Applied) -> Applied {
         let mut log = self.log();
         let applied = change(&mut log);
--- a/src/sources/config/sync.rs
+++ b/src/sources/config/sync.rs
@@ -1,4 +1,4 @@
-//! The task that lists and watches the store's resources.
+//! The task that lists and watches the resources in the store.
 
 use std::sync::{Arc, Weak};
 
@@ -11,32 +11,32 @@
 use crate::sources::backoff::Backoff;
 use crate::sources::platform::{KeyValue, PlatformStore, StoreError, WatchChange, WatchEvent};
 
-/// Follows the store while it is told to watch.
-pub(super) struct Task {
-    // Weak, so that the task ends with the last handle.
+/// Applies the store's changes to the configuration while watching is enabled.
+pub(super) struct SyncTask {
+    // Weak, so that the task ends when the last handle is dropped.
     shared: Weak<Shared>,
     store: Arc<dyn PlatformStore>,
     prefix: String,
     watching: watch::Receiver<bool>,
     backoff: Backoff,
     log: Logger,
-    // The last state that was logged.
+    // The last logged state.
     connected: Option<bool>,
 }
 
-/// How a watch ended.
-enum End {
-    /// It stood for a while: open another at once.
-    Reopen,
-    /// Changes in between are no longer kept: list again.
+/// What follows a listing or a watch.
+enum NextStep {
+    /// Open a watch immediately.
+    Watch,
+    /// List again, as the store has compacted the next changes.
     List,
-    /// It could not be opened.
-    Failed(String),
-    /// No handle is left.
+    /// Retry after a delay, for this reason.
+    Retry(String),
+    /// End the task, as all handles are dropped.
     Stop,
 }
 
-impl Task {
+impl SyncTask {
     pub(super) fn new(shared: &Arc<Shared>, settings: &PlatformSettings, log: Logger) -> Self {
         Self {
             shared: Arc::downgrade(shared),
@@ -52,13 +52,13 @@
     pub(super) async fn run(mut self) {
         loop {
             let mut watching = self.watching.clone();
-            // An error means that the last handle is gone.
-            if watching.wait_for(|held| *held).await.is_err() {
+            // Fails if all handles are dropped.
+            if watching.wait_for(|enabled| *enabled).await.is_err() {
                 return;
             }
             let stopped = tokio::select! {
-                () = self.follow() => true,
-                changed = watching.wait_for(|held| !held) => changed.is_err(),
+                () = self.sync() => true,
+                changed = watching.wait_for(|enabled| !enabled) => changed.is_err(),
             };
             if stopped {
                 return;
@@ -66,84 +66,84 @@
         }
     }
 
-    // Returns when no handle is left.
-    async fn follow(&mut self) {
+    // Returns when all handles are dropped.
+    async fn sync(&mut self) {
         let mut must_list = self.revision() == Some(0);
         loop {
-            let end = match must_list {
+            let next = match must_list {
                 true => self.list().await,
                 false => self.watch().await,
             };
-            let failure = match end {
-                End::Stop => return,
-                End::Reopen => {
+            let failure = match next {
+                NextStep::Stop => return,
+                NextStep::Watch => {
                     must_list = false;
                     continue;
                 }
-                End::List => {
+                NextStep::List => {
                     must_list = true;
                     continue;
                 }
-                End::Failed(reason) => reason,
+                NextStep::Retry(reason) => reason,
             };
-            self.note(false, &failure);
-            tokio::time::sleep(self.backoff.next_pause()).await;
+            self.record_connected(false, &failure);
+            tokio::time::sleep(self.backoff.next_delay()).await;
         }
     }
 
-    async fn list(&mut self) -> End {
+    async fn list(&mut self) -> NextStep {
         let listing = match self.store.range(&self.prefix).await {
             Ok(listing) => listing,
-            Err(error) => return failed(&error),
+            Err(error) => return retry(&error),
         };
         let Some(shared) = self.shared.upgrade() else {
-            return End::Stop;
+            return NextStep::Stop;
         };
         let changes: Vec<Change> = listing
             .keys
             .iter()
-            .filter_map(|kv| declared(&shared, kv))
+            .filter_map(|kv| listed_change(&shared, kv))
             .collect();
         shared.update(|log| log.replace(listing.revision, &changes));
         drop(shared);
-        self.note(true, "listed");
-        End::Reopen
+        self.record_connected(true, "listed");
+        NextStep::Watch
     }
 
-    async fn watch(&mut self) -> End {
-        let Some(mut position) = self.revision() else {
-            return End::Stop;
+    async fn watch(&mut self) -> NextStep {
+        let Some(mut applied_revision) = self.revision() else {
+            return NextStep::Stop;
         };
-        let mut events = self.store.watch(&self.prefix, position + 1);
+        let mut events = self.store.watch(&self.prefix, applied_revision + 1);
         let mut opened = false;
         while let Some(event) = events.recv().await {
             match event {
                 WatchEvent::Opened => {}
                 WatchEvent::Changes { revision, changes } => {
                     let Some(shared) = self.shared.upgrade() else {
-                        return End::Stop;
+                        return NextStep::Stop;
                     };
-                    apply(&shared, position, revision, &changes);
-                    position = revision;
+                    apply(&shared, applied_revision, revision, &changes);
+                    applied_revision = revision;
                 }
-                WatchEvent::Compacted => return End::List,
-                WatchEvent::Closed { .. } if opened => return End::Reopen,
-                WatchEvent::Closed { reason } => return End::Failed(reason),
+                WatchEvent::Compacted => return NextStep::List,
+                WatchEvent::Closed { .. } if opened => return NextStep::Watch,
+                WatchEvent::Closed { reason } => return NextStep::Retry(reason),
             }
             opened = true;
-            self.note(true, "watching");
+            self.record_connected(true, "watching");
         }
-        End::Failed("the watch ended without a reason".to_owned())
+        NextStep::Retry("the watch ended without a reason".to_owned())
     }
 
-    // `None` where no handle is left.
+    // `None` if all handles are dropped.
     fn revision(&self) -> Option<u64> {
         let shared = self.shared.upgrade()?;
         let revision = shared.log().revision();
         Some(revision)
     }
 
-    fn note(&mut self, connected: bool, reason: &str) {
+    fn record_connected(&mut self, connected: bool, reason: &str) {
         if connected {
             self.backoff.reset();
         }
@@ -151,20 +151,20 @@
             return;
         }
         match connected {
-            true => info!(self.log, "following the platform's store"; "state" => reason),
+            true => info!(self.log, "connected to the platform's store"; "state" => reason),
             false => {
-                warn!(self.log, "cannot follow the platform's store; the last configuration stays in force";
+                warn!(self.log, "cannot read the platform's store; keeping the last configuration";
                 "reason" => reason)
             }
         }
     }
 }
 
-fn failed(error: &StoreError) -> End {
-    End::Failed(error.to_string())
+fn retry(error: &StoreError) -> NextStep {
+    NextStep::Retry(error.to_string())
 }
 
-fn declared(shared: &Shared, kv: &KeyValue) -> Option<Change> {
+fn listed_change(shared: &Shared, kv: &KeyValue) -> Option<Change> {
     Some(Change {
         key: shared.resource_key(&kv.key)?,
         value: Some(kv.value.clone()),
@@ -175,12 +175,12 @@
 fn apply(shared: &Shared, from_revision: u64, to_revision: u64, changes: &[WatchChange]) {
     let changes: Vec<Change> = changes
         .iter()
-        .filter_map(|change| changed(shared, change))
+        .filter_map(|change| watched_change(shared, change))
         .collect();
     shared.update(|log| log.apply(from_revision, to_revision, &changes));
 }
 
-fn changed(shared: &Shared, change: &WatchChange) -> Option<Change> {
+fn watched_change(shared: &Shared, change: &WatchChange) -> Option<Change> {
     Some(Change {
         key: shared.resource_key(&change.key)?,
         value: change.value.clone(),
--- a/src/sources/config/write.rs
+++ b/src/sources/config/write.rs
@@ -1,4 +1,5 @@
-//! Conditional writes of resources, settled when an answer is lost.
+//! Conditional writes of resources. If a response is lost, the key is read to
+//! determine the outcome.
 
 use std::time::Duration;
 
@@ -13,35 +14,36 @@
 use crate::sources::backoff::Backoff;
 use crate::sources::platform::{CasResult, KeyValue, PlatformStore, StoreError};
 
-/// Longest time spent on settling one write besides the call under way, in
-/// time limits of a call.
-const SETTLE_CALLS: u64 = 2;
+/// Time limit for determining the outcome of a write, as a multiple of the call
+/// timeout. A call in progress is not interrupted.
+const RESOLVE_CALL_TIMEOUTS: u64 = 2;
 
-/// Why a write was not acknowledged.
+/// Error of a conditional write.
 #[derive(Clone, Debug, Display, Error, PartialEq, Eq)]
 pub enum WriteError {
-    /// Another change came first; nothing was written.
+    /// The key was changed by another write; nothing was written.
     #[display("another change came first")]
     Conflict {
-        /// The key as it is; `None` where it is absent.
+        /// The current key; `None` if it is absent.
         current: Option<KeyValue>,
     },
-    /// The store did not take the write; nothing was written.
+    /// The call failed; nothing was written.
     #[display("nothing was written: {reason}")]
     NotApplied {
-        /// What went wrong.
+        /// Description of the failure.
         reason: String,
     },
-    /// The write may have taken effect.
+    /// The outcome could not be determined; the write may have taken effect.
     #[display("the write may have taken effect: {reason}")]
     MayHaveApplied {
-        /// What went wrong.
+        /// Description of the failure.
         reason: String,
     },
 }
 
-/// Replaces `before`, the key as it was read, by `value` (`None` removes it);
-/// gives the revision of the value, 0 for a removal.
+/// Writes `value` to the key, or removes the key if `value` is `None`, unless the
+/// key has changed since it was read as `before`. Returns the revision of the value,
+/// or 0 for a removal.
 pub async fn write_if_unchanged(
     store: &dyn PlatformStore,
     settings: &PlatformSettings,
@@ -59,15 +61,15 @@
         Ok(CasResult::Conflict { current }) => Err(WriteError::Conflict { current }),
         Err(StoreError::NotApplied { reason }) => Err(WriteError::NotApplied { reason }),
         Err(StoreError::MayHaveApplied { reason }) => {
-            let budget = Duration::from_millis(SETTLE_CALLS * settings.call_timeout_ms);
-            let settling = Settling {
+            let budget = Duration::from_millis(RESOLVE_CALL_TIMEOUTS * settings.call_timeout_ms);
+            let resolver = OutcomeResolver {
                 store,
                 key,
                 write: &write,
                 backoff: Backoff::new(settings),
-                give_up: Instant::now() + budget,
+                deadline: Instant::now() + budget,
             };
-            settling.run(reason).await
+            resolver.run(reason).await
         }
     }
 }
@@ -84,56 +86,57 @@
     .await
 }
 
-/// Finds out what became of a write whose answer was lost.
-struct Settling<'a> {
+/// Determines the outcome of a write whose response was lost.
+struct OutcomeResolver<'a> {
     store: &'a dyn PlatformStore,
     key: &'a str,
     write: &'a ConditionalWrite,
     backoff: Backoff,
-    give_up: Instant,
+    deadline: Instant,
 }
 
-impl Settling<'_> {
+impl OutcomeResolver<'_> {
     async fn run(mut self, mut reason: String) -> Result<u64, WriteError> {
-        while Instant::now() < self.give_up {
-            match self.step().await {
-                Ok(Some(settled)) => return settled,
+        while Instant::now() < self.deadline {
+            match self.try_resolve().await {
+                Ok(Some(outcome)) => return outcome,
                 Ok(None) => {}
                 Err(StoreError::NotApplied { reason: latest })
                 | Err(StoreError::MayHaveApplied { reason: latest }) => reason = latest,
             }
-            tokio::time::sleep(self.backoff.next_pause()).await;
+            tokio::time::sleep(self.backoff.next_delay()).await;
         }
         Err(WriteError::MayHaveApplied { reason })
     }
 
-    // One read and, where the write is still possible, one repeat. `None`
-    // where nothing is known yet.
-    async fn step(&self) -> Result<Option<Result<u64, WriteError>>, StoreError> {
+    // Reads the key, and repeats the write if it can still take effect. `None` if
+    // the outcome is not known yet.
+    async fn try_resolve(&self) -> Result<Option<Result<u64, WriteError>>, StoreError> {
         let found = self.store.get(self.key).await?;
-        if let Some(settled) = self.judge(found) {
-            return Ok(Some(settled));
+        if let Some(outcome) = self.outcome(found) {
+            return Ok(Some(outcome));
         }
         match send(self.store, self.key, self.write).await? {
             CasResult::Applied { revision } => Ok(Some(Ok(revision))),
-            CasResult::Conflict { current } => Ok(self.judge(current)),
+            CasResult::Conflict { current } => Ok(self.outcome(current)),
         }
     }
 
-    fn judge(&self, current: Option<KeyValue>) -> Option<Result<u64, WriteError>> {
-        match determine_outcome(self.write, current.as_ref().map(found).as_ref()) {
+    fn outcome(&self, current: Option<KeyValue>) -> Option<Result<u64, WriteError>> {
+        match determine_outcome(self.write, current.as_ref().map(stored_key).as_ref()) {
             WriteOutcome::Pending => None,
             WriteOutcome::Applied { revision } => Some(Ok(revision)),
             WriteOutcome::Lost { .. } => Some(Err(WriteError::Conflict { current })),
             WriteOutcome::Unknown => {
-                let reason = "another change followed before it could be read back".to_owned();
+                let reason =
+                    "the key was changed again before the write could be confirmed".to_owned();
                 Some(Err(WriteError::MayHaveApplied { reason }))
             }
         }
     }
 }
 
-fn found(kv: &KeyValue) -> StoredKey {
+fn stored_key(kv: &KeyValue) -> StoredKey {
     StoredKey {
         value: kv.value.clone(),
         revision: kv.revision,
--- a/src/sources/instances.rs
+++ b/src/sources/instances.rs
@@ -1,4 +1,4 @@
-//! The platform's own list of instances, read at intervals. It lags.
+//! Polls the platform's list of instances, which may be out of date.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -10,25 +10,27 @@
 
 use super::platform::{KeyValue, PlatformStore};
 
-/// An instance as the platform lists it.
+/// An instance in the platform's list.
 #[derive(Clone, Debug, PartialEq, Eq)]
+#[expect(
+    missing_docs,
+    reason = "the name and the failure domain explain themselves"
+)]
 pub struct PlatformInstance {
-    /// Configured name.
     pub name: String,
-    /// Number of its start.
+    /// Increases with each start of the instance.
     pub incarnation: u64,
-    /// Its failure domain.
     pub failure_domain: String,
-    /// Address for callers and operators, IP:PORT.
+    /// Address for callers and operators, as IP:PORT.
     pub http_address: String,
-    /// Address for other instances, IP:PORT.
+    /// Address for other instances, as IP:PORT.
     pub peer_address: String,
-    /// Whether the platform is about to stop it.
+    /// Whether the platform is about to stop the instance.
     pub leaving: bool,
 }
 
-/// The newest list; empty until the first was read. Each reading counts as a
-/// change; it keeps its last content while the store cannot be reached.
+/// Receiver of the latest list; empty until the list is first read. Each read counts
+/// as a change. The list is kept while the store is unreachable.
 pub type InstanceList = watch::Receiver<Arc<Vec<PlatformInstance>>>;
 
 #[derive(Deserialize)]
@@ -50,14 +52,14 @@
     Leaving,
 }
 
-/// Reads the list at intervals until every receiver is dropped.
+/// Polls the list until all receivers are dropped.
 pub fn start(store: Arc<dyn PlatformStore>, settings: &Settings, log: Logger) -> InstanceList {
     let always = watch::Sender::new(true).subscribe();
     start_while(always, store, settings, log)
 }
 
-/// As [`start`], but reads only while `polling` holds, so that calls to the
-/// store need not grow with the fleet; the last list is kept meanwhile.
+/// Like [`start`], but polls only while `polling` is true, so that not all instances
+/// need to call the store. The list is kept while polling is off.
 pub fn start_while(
     polling: watch::Receiver<bool>,
     store: Arc<dyn PlatformStore>,
@@ -65,58 +67,58 @@
     log: Logger,
 ) -> InstanceList {
     let (sender, receiver) = watch::channel(Arc::default());
-    let poll = Poll {
+    let poller = Poller {
         polling,
         store,
         prefix: settings.platform.instance_list_prefix.clone(),
-        period: Duration::from_millis(settings.platform.instance_list_poll_ms.max(1)),
+        interval: Duration::from_millis(settings.platform.instance_list_poll_ms.max(1)),
         log,
     };
-    tokio::spawn(poll.run(sender));
+    tokio::spawn(poller.run(sender));
     receiver
 }
 
-struct Poll {
+struct Poller {
     polling: watch::Receiver<bool>,
     store: Arc<dyn PlatformStore>,
     prefix: String,
-    period: Duration,
+    interval: Duration,
     log: Logger,
 }
 
-impl Poll {
+impl Poller {
     async fn run(mut self, sender: watch::Sender<Arc<Vec<PlatformInstance>>>) {
         loop {
             tokio::select! {
-                () = self.polling_holds() => {}
+                () = self.wait_until_enabled() => {}
                 () = sender.closed() => return,
             }
             self.read(&sender).await;
             tokio::select! {
-                () = tokio::time::sleep(self.period) => {}
+                () = tokio::time::sleep(self.interval) => {}
                 () = sender.closed() => return,
             }
         }
     }
 
-    // A switch whose owner is gone stays as it was last.
-    async fn polling_holds(&mut self) {
-        let held = self.polling.wait_for(|polling| *polling).await.is_ok();
-        if !held && !*self.polling.borrow() {
+    // If the sender of `polling` is dropped, the last value stays in effect.
+    async fn wait_until_enabled(&mut self) {
+        let enabled = self.polling.wait_for(|polling| *polling).await.is_ok();
+        if !enabled && !*self.polling.borrow() {
             std::future::pending::<()>().await;
         }
     }
 
     async fn read(&self, sender: &watch::Sender<Arc<Vec<PlatformInstance>>>) {
-        // Whether the store answers is logged where its state is kept.
+        // Failures of the store are logged by the configuration sync.
         let Ok(listing) = self.store.range(&self.prefix).await else {
             return;
         };
         let list: Vec<PlatformInstance> = listing.keys.iter().filter_map(instance).collect();
         let mut changed = false;
-        // Told even if it is the same: how long a name has been missing is
-        // counted by readings.
-        sender.send_modify(|known| changed = replace(known, list));
+        // Notifies also if the list is unchanged: the membership counts the reads from
+        // which an instance is missing.
+        sender.send_modify(|current| changed = replace_if_changed(current, list));
         if changed {
             let count = sender.borrow().len();
             slog::info!(self.log, "instance list changed"; "instances" => count);
@@ -124,11 +126,14 @@
     }
 }
 
-fn replace(known: &mut Arc<Vec<PlatformInstance>>, list: Vec<PlatformInstance>) -> bool {
-    if **known == list {
+fn replace_if_changed(
+    current: &mut Arc<Vec<PlatformInstance>>,
+    list: Vec<PlatformInstance>,
+) -> bool {
+    if **current == list {
         return false;
     }
-    *known = Arc::new(list);
+    *current = Arc::new(list);
     true
 }
 
--- a/src/sources/platform.rs
+++ b/src/sources/platform.rs
@@ -1,7 +1,7 @@
 //! The platform's key-value service.
 //!
-//! [`PlatformStore`] is the edge: another store costs one file. The only
-//! implementation is [`etcd::EtcdClient`], etcd v3 over its JSON mapping.
+//! [`PlatformStore`] is the interface to a store; [`etcd::EtcdClient`] implements it
+//! for etcd v3.
 
 use std::future::Future;
 use std::pin::Pin;
@@ -13,52 +13,51 @@
 pub mod etcd;
 mod wire;
 
-/// Future of a call to the store.
+/// Future returned by the calls of a [`PlatformStore`].
 pub type StoreFuture<'a, T> = Pin<Box<dyn Future<Output = Result<T, StoreError>> + Send + 'a>>;
 
-/// Why a call failed, and whether a write in it may have taken effect.
+/// Error of a call, which tells whether a write may have taken effect.
 #[derive(Clone, Debug, Display, Error, PartialEq, Eq)]
 pub enum StoreError {
     /// The call had no effect and will have none.
-    #[display("the platform's store did not take the call: {reason}")]
+    #[display("call to the platform's store failed: {reason}")]
     NotApplied {
-        /// What went wrong.
+        /// Description of the failure.
         reason: String,
     },
-    /// The call was sent and its answer never came; a write may have taken
-    /// effect or still take it.
-    #[display("the platform's store did not answer the call: {reason}")]
+    /// The call was sent, but no valid response was received; a write may have taken
+    /// effect, or may still do so.
+    #[display("no valid response from the platform's store: {reason}")]
     MayHaveApplied {
-        /// What went wrong.
+        /// Description of the failure.
         reason: String,
     },
 }
 
-/// A key with its value and its place in the store's history.
+/// A key with its value and revisions.
 #[derive(Clone, Debug, PartialEq, Eq)]
+#[expect(missing_docs, reason = "`key` and `value` explain themselves")]
 pub struct KeyValue {
-    /// The key.
     pub key: String,
-    /// Its value.
     pub value: Bytes,
-    /// Store revision of its last change.
+    /// Store revision of the last change.
     pub revision: u64,
-    /// Store revision at which it was created; 0 where the store does not say.
+    /// Store revision of the creation; 0 if the store does not report it.
     pub created_revision: u64,
-    /// Changes since it was created, from 1.
+    /// Number of changes since the creation; 1 for a new key.
     pub version: u64,
 }
 
-/// Every key under a prefix, as of one store revision.
+/// All keys with a prefix at one store revision.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Listing {
-    /// Store revision that the listing shows.
+    /// Store revision of the listing.
     pub revision: u64,
-    /// The keys, in order.
+    /// The keys, sorted.
     pub keys: Vec<KeyValue>,
 }
 
-/// Answer to a conditional write.
+/// Result of a conditional write.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum CasResult {
     /// The write took effect.
@@ -68,53 +67,54 @@
     },
     /// The key was not at the expected revision; nothing was written.
     Conflict {
-        /// The key as it is; `None` where it is absent.
+        /// The current key; `None` if it is absent.
         current: Option<KeyValue>,
     },
 }
 
-/// One change of a watched key.
+/// A change of a watched key.
 #[derive(Clone, Debug, PartialEq, Eq)]
+#[expect(missing_docs, reason = "`key` explains itself")]
 pub struct WatchChange {
-    /// The key.
     pub key: String,
-    /// Its new value; `None` where it was removed.
+    /// The new value; `None` if the key was removed.
     pub value: Option<Bytes>,
     /// Store revision of the change.
     pub revision: u64,
 }
 
-/// What a watch reports.
+/// An event of a watch.
 #[derive(Clone, Debug, PartialEq, Eq)]
+#[expect(missing_docs, reason = "`changes` explains itself")]
 pub enum WatchEvent {
-    /// The watch stands.
+    /// The watch is open, and nothing has changed.
     Opened,
-    /// Changes, whole revisions in order.
+    /// Changes in order; the changes of one revision are never split.
     Changes {
-        /// Store revision of the newest of them.
+        /// Store revision of the last change.
         revision: u64,
-        /// The changes.
         changes: Vec<WatchChange>,
     },
-    /// Changes since the asked revision are no longer kept: list again.
+    /// The store has compacted changes after the requested revision; the keys must be
+    /// listed again.
     Compacted,
-    /// The watch ended; open another from the revision after the last change.
+    /// The watch ended; another can be opened at the revision after the last change.
     Closed {
-        /// Why, for people.
+        /// Description of the cause.
         reason: String,
     },
 }
 
 /// A key-value service with compare-and-swap and watches.
 pub trait PlatformStore: Send + Sync + 'static {
-    /// Every key under `prefix`, read in pages at one revision.
+    /// Reads all keys that start with `prefix`, at one revision.
     fn range<'a>(&'a self, prefix: &'a str) -> StoreFuture<'a, Listing>;
 
-    /// One key; `None` where it is absent.
+    /// Reads one key; `None` if it is absent.
     fn get<'a>(&'a self, key: &'a str) -> StoreFuture<'a, Option<KeyValue>>;
 
-    /// Writes `value` if the key's last change was at `expected_revision`; 0
-    /// expects it absent.
+    /// Writes `value` if the key was last changed at `expected_revision`, or is absent
+    /// if that is 0.
     fn put_if<'a>(
         &'a self,
         key: &'a str,
@@ -122,14 +122,14 @@
         expected_revision: u64,
     ) -> StoreFuture<'a, CasResult>;
 
-    /// Removes the key if its last change was at `expected_revision`.
+    /// Removes the key if it was last changed at `expected_revision`.
     fn delete_if<'a>(&'a self, key: &'a str, expected_revision: u64) -> StoreFuture<'a, CasResult>;
 
-    /// Reports changes under `prefix` at `from_revision` or later. The last
-    /// event is [`WatchEvent::Closed`] or [`WatchEvent::Compacted`]; dropping
+    /// Watches the keys that start with `prefix` for changes from `from_revision` on.
+    /// The last event is [`WatchEvent::Closed`] or [`WatchEvent::Compacted`]; dropping
     /// the receiver ends the watch.
     fn watch(&self, prefix: &str, from_revision: u64) -> mpsc::Receiver<WatchEvent>;
 
-    /// Whether the last call was answered.
+    /// Whether the last call succeeded.
     fn reachable(&self) -> bool;
 }
--- a/src/sources/platform/etcd.rs
+++ b/src/sources/platform/etcd.rs
@@ -1,8 +1,7 @@
-//! etcd v3 over its JSON mapping.
+//! Client for etcd v3 over its JSON gateway.
 //!
-//! Each call names the calling instance in a header, has one time limit and
-//! is counted. Nothing is retried here: who calls knows whether a repeat is
-//! idempotent.
+//! Each call has a timeout, is counted, and names the calling instance in a header.
+//! Calls are not retried here, as only the caller knows whether they are idempotent.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -33,14 +32,14 @@
 
 /// Header that names the calling instance.
 const INSTANCE_HEADER: &str = "trefoil-instance";
-/// Keys read in one call of a listing.
+/// Maximum number of keys read in one call.
 const PAGE_KEYS: u64 = 500;
-/// Watch events kept for a slow reader before the watch waits for it.
-const WATCH_QUEUE: usize = 64;
-/// Longest excerpt of an error answer that is shown, in characters.
-const SHOWN_CHARS_MAX: usize = 200;
+/// Events buffered for the receiver of a watch.
+const WATCH_BUFFER: usize = 64;
+/// Characters of an error response that are included in the error.
+const ERROR_CHARS_MAX: usize = 200;
 
-/// Client of one etcd address; clones share connections and counters.
+/// Client for one etcd address; clones share connections and counters.
 #[derive(Clone, Debug)]
 pub struct EtcdClient {
     shared: Arc<Shared>,
@@ -57,12 +56,14 @@
 }
 
 impl EtcdClient {
-    /// A client for `settings.platform`, calling as `settings.instance`.
+    /// Creates a client for `settings.platform` that identifies itself as
+    /// `settings.instance`.
     pub fn new(settings: &Settings) -> Self {
         let call_timeout = Duration::from_millis(settings.platform.call_timeout_ms);
         let mut connector = HttpConnector::new();
         connector.set_nodelay(true);
-        // A connection that fails by itself proves that nothing was sent.
+        // Shorter than the call timeout: a failure to connect shows that the call was
+        // not sent.
         connector.set_connect_timeout(Some(call_timeout / 2));
         let shared = Shared {
             client: Client::builder(TokioExecutor::new()).build(connector),
@@ -77,7 +78,7 @@
         }
     }
 
-    /// Calls made so far.
+    /// Counters of the calls.
     pub fn calls(&self) -> &CallCounters {
         &self.shared.calls
     }
@@ -90,19 +91,19 @@
         body: &impl Serialize,
     ) -> Result<T, StoreError> {
         self.calls.count(kind);
-        let exchange = self.exchange(kind, body);
-        let answer = match tokio::time::timeout(self.call_timeout, exchange).await {
-            Ok(answer) => answer,
+        let response = self.call_without_timeout(kind, body);
+        let result = match tokio::time::timeout(self.call_timeout, response).await {
+            Ok(result) => result,
             Err(_) => Err(may_have_applied("timeout")),
         };
-        self.note(answer.is_ok());
-        if answer.is_err() {
+        self.set_reachable(result.is_ok());
+        if result.is_err() {
             self.calls.count_failure();
         }
-        answer
+        result
     }
 
-    async fn exchange<T: DeserializeOwned>(
+    async fn call_without_timeout<T: DeserializeOwned>(
         &self,
         kind: CallKind,
         body: &impl Serialize,
@@ -113,7 +114,7 @@
         serde_json::from_slice(&bytes).map_err(may_have_applied)
     }
 
-    /// Sends a call and takes the head of its answer; a refusal is an error.
+    /// Sends a call and waits for the head of the response; fails on an error status.
     async fn send(
         &self,
         kind: CallKind,
@@ -126,7 +127,7 @@
             return Ok(response);
         }
         let text = error_text(response).await;
-        Err(refusal(status, &text))
+        Err(status_error(status, &text))
     }
 
     fn request(
@@ -144,7 +145,7 @@
             .map_err(not_applied)
     }
 
-    fn note(&self, reachable: bool) {
+    fn set_reachable(&self, reachable: bool) {
         self.reachable.store(reachable, Ordering::Relaxed);
     }
 
@@ -171,11 +172,11 @@
     }
 
     async fn get(&self, key: &str) -> Result<Option<KeyValue>, StoreError> {
-        let page: RangeResponse = self.call(CallKind::Range, &single(key)).await?;
+        let page: RangeResponse = self.call(CallKind::Range, &single_key(key)).await?;
         Ok(page.kvs.into_iter().next().map(key_value))
     }
 
-    async fn cas(
+    async fn compare_and_swap(
         &self,
         key: &str,
         expected_revision: u64,
@@ -190,10 +191,10 @@
         let request = TxnRequest {
             compare: vec![compare],
             success: vec![change],
-            failure: vec![RequestOp::Range(single(key))],
+            failure: vec![RequestOp::Range(single_key(key))],
         };
-        let answer: TxnResponse = self.call(CallKind::Txn, &request).await?;
-        Ok(cas_result(answer))
+        let response: TxnResponse = self.call(CallKind::Txn, &request).await?;
+        Ok(cas_result(response))
     }
 }
 
@@ -216,17 +217,20 @@
             key: base64(key),
             value: Base64(value),
         };
-        Box::pin(self.shared.cas(key, expected_revision, RequestOp::Put(put)))
+        Box::pin(
+            self.shared
+                .compare_and_swap(key, expected_revision, RequestOp::Put(put)),
+        )
     }
 
     fn delete_if<'a>(&'a self, key: &'a str, expected_revision: u64) -> StoreFuture<'a, CasResult> {
         let delete = DeleteRequest { key: base64(key) };
         let change = RequestOp::Delete(delete);
-        Box::pin(self.shared.cas(key, expected_revision, change))
+        Box::pin(self.shared.compare_and_swap(key, expected_revision, change))
     }
 
     fn watch(&self, prefix: &str, from_revision: u64) -> mpsc::Receiver<WatchEvent> {
-        let (events, receiver) = mpsc::channel(WATCH_QUEUE);
+        let (events, receiver) = mpsc::channel(WATCH_BUFFER);
         let shared = Arc::clone(&self.shared);
         let request = watch::request(prefix, from_revision);
         tokio::spawn(watch::run(shared, request, events));
@@ -238,7 +242,7 @@
     }
 }
 
-fn single(key: &str) -> RangeRequest {
+fn single_key(key: &str) -> RangeRequest {
     RangeRequest {
         key: base64(key),
         ..RangeRequest::default()
@@ -263,12 +267,12 @@
     }
 }
 
-fn cas_result(answer: TxnResponse) -> CasResult {
-    if answer.succeeded {
-        let revision = answer.header.revision.0;
+fn cas_result(response: TxnResponse) -> CasResult {
+    if response.succeeded {
+        let revision = response.header.revision.0;
         return CasResult::Applied { revision };
     }
-    let ranges = answer.responses.into_iter();
+    let ranges = response.responses.into_iter();
     let kvs = ranges.filter_map(|response| response.response_range);
     let current = kvs.flat_map(|range| range.kvs).next().map(key_value);
     CasResult::Conflict { current }
@@ -276,21 +280,21 @@
 
 fn send_error(error: hyper_util::client::legacy::Error) -> StoreError {
     if error.is_connect() {
-        return not_applied(format!("no connection: {}", chain(&error)));
+        return not_applied(format!("cannot connect: {}", error_chain(&error)));
     }
-    may_have_applied(chain(&error))
+    may_have_applied(error_chain(&error))
 }
 
-fn chain(error: &dyn std::error::Error) -> String {
+fn error_chain(error: &dyn std::error::Error) -> String {
     let causes = std::iter::successors(Some(error), |error| error.source());
     let texts: Vec<String> = causes.map(ToString::to_string).collect();
     texts.join(": ")
 }
 
-// A client error was refused before any effect; a server error may follow one.
-fn refusal(status: StatusCode, text: &str) -> StoreError {
-    let shown: String = text.chars().take(SHOWN_CHARS_MAX).collect();
-    let reason = format!("status {status}: {shown}");
+// A call with a client error had no effect; one with a server error may have.
+fn status_error(status: StatusCode, text: &str) -> StoreError {
+    let excerpt: String = text.chars().take(ERROR_CHARS_MAX).collect();
+    let reason = format!("status {status}: {excerpt}");
     match status.is_client_error() {
         true => not_applied(reason),
         false => may_have_applied(reason),
--- a/src/sources/platform/etcd/counters.rs
+++ b/src/sources/platform/etcd/counters.rs
@@ -1,20 +1,19 @@
-//! Counts of calls to the store.
+//! Counters of calls to the store.
 
 use std::sync::atomic::{AtomicU64, Ordering};
 
-/// Kind of a call.
+/// Kind of call to the store.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CallKind {
-    /// Read of one key or of a page.
+    /// Read of one key or of a page of keys.
     Range,
     /// Conditional write.
     Txn,
-    /// Opening of a watch.
+    /// Start of a watch.
     Watch,
 }
 
 impl CallKind {
-    /// Path of the call.
     pub(super) fn path(self) -> &'static str {
         match self {
             Self::Range => "/v3/kv/range",
@@ -34,12 +33,12 @@
 }
 
 impl CallCounters {
-    /// Calls of one kind, failed ones included.
+    /// Number of calls of one kind, including failed ones.
     pub fn of(&self, kind: CallKind) -> u64 {
         self.counter(kind).load(Ordering::Relaxed)
     }
 
-    /// Calls of any kind that failed.
+    /// Number of failed calls of all kinds.
     pub fn failed(&self) -> u64 {
         self.failed.load(Ordering::Relaxed)
     }
--- a/src/sources/platform/etcd/watch.rs
+++ b/src/sources/platform/etcd/watch.rs
@@ -1,7 +1,7 @@
-//! One watch: a call whose answer is a line of JSON for each event.
+//! A watch: a call whose response has one line of JSON for each message.
 //!
-//! A watch that hangs looks like one on which nothing happens, so a silent
-//! watch is ended after [`WATCH_SILENCE`] and its reader opens another.
+//! A broken connection cannot be told from one without changes, so a watch is
+//! closed after [`WATCH_IDLE_TIMEOUT`] without data, and its reader opens another.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -18,13 +18,13 @@
 use super::super::{StoreError, WatchChange, WatchEvent};
 use super::{CallKind, Shared, base64, key_text, may_have_applied};
 
-/// Longest silence of a watch before it is opened anew. It bounds how long a
-/// hung watch delays a change, and costs one call each time.
-const WATCH_SILENCE: Duration = Duration::from_secs(3);
-/// Longest line of a watch: well above the store's largest value in base64.
+/// Time without data after which a watch is closed. Shorter values detect broken
+/// connections earlier, but cost more calls.
+const WATCH_IDLE_TIMEOUT: Duration = Duration::from_secs(3);
+/// Maximum length of a line; larger than the store's largest value in base64.
 const LINE_BYTES_MAX: usize = 8 << 20;
 
-/// The request that opens a watch.
+/// Returns the request that opens a watch.
 pub(super) fn request(prefix: &str, from_revision: u64) -> WatchRequest {
     let create_request = WatchCreate {
         key: base64(prefix),
@@ -35,27 +35,27 @@
     WatchRequest { create_request }
 }
 
-/// Runs a watch until it ends or its reader goes away.
+/// Runs a watch until it ends or its receiver is dropped.
 pub(super) async fn run(
     shared: Arc<Shared>,
     request: WatchRequest,
     events: mpsc::Sender<WatchEvent>,
 ) {
     let last = tokio::select! {
-        last = follow(&shared, &request, &events) => last,
+        last = read_events(&shared, &request, &events) => last,
         () = events.closed() => return,
     };
     let last = last.unwrap_or_else(|error| {
-        shared.note(false);
+        shared.set_reachable(false);
         shared.calls.count_failure();
         closed(error.to_string())
     });
-    // The reader may have gone away meanwhile, which is no loss.
+    // Fails if the receiver was dropped in the meantime.
     let _ = events.send(last).await;
 }
 
-// Gives the event that ends the watch.
-async fn follow(
+// Returns the event that ends the watch.
+async fn read_events(
     shared: &Shared,
     request: &WatchRequest,
     events: &mpsc::Sender<WatchEvent>,
@@ -63,9 +63,9 @@
     let mut body = open(shared, request).await?;
     let mut buffer = BytesMut::new();
     loop {
-        let frame = tokio::time::timeout(WATCH_SILENCE, body.frame()).await;
+        let frame = tokio::time::timeout(WATCH_IDLE_TIMEOUT, body.frame()).await;
         let Ok(frame) = frame else {
-            return Ok(closed("no news within the longest silence".to_owned()));
+            return Ok(closed("no data within the idle timeout".to_owned()));
         };
         let Some(frame) = frame else {
             return Ok(closed("the store ended the watch".to_owned()));
@@ -73,17 +73,17 @@
         let data = frame.map_err(may_have_applied)?.into_data();
         buffer.extend_from_slice(&data.unwrap_or_default());
         while let Some(line) = take_line(&mut buffer) {
-            let response = read(&line)?;
-            shared.note(true);
+            let response = parse_line(&line)?;
+            shared.set_reachable(true);
             let event = event(response);
             if is_last(&event) {
                 return Ok(event);
             }
-            // `run` notices a reader that went away.
+            // `run` ends the watch when the receiver is dropped.
             let _ = events.send(event).await;
         }
         if buffer.len() > LINE_BYTES_MAX {
-            return Err(may_have_applied("a watch line is too long"));
+            return Err(may_have_applied("a line of the watch is too long"));
         }
     }
 }
@@ -103,7 +103,7 @@
     Some(line.freeze())
 }
 
-fn read(line: &[u8]) -> Result<WatchResponse, StoreError> {
+fn parse_line(line: &[u8]) -> Result<WatchResponse, StoreError> {
     let message: WatchMessage = serde_json::from_slice(line).map_err(may_have_applied)?;
     Ok(message.result)
 }
@@ -114,7 +114,7 @@
     }
     if response.canceled {
         return closed(format!(
-            "cancelled by the store: {}",
+            "the store cancelled the watch: {}",
             response.cancel_reason
         ));
     }
--- a/src/sources/platform/wire.rs
+++ b/src/sources/platform/wire.rs
@@ -1,4 +1,4 @@
-//! etcd v3's messages in their JSON mapping.
+//! Messages of etcd v3 in their JSON mapping.
 
 use std::fmt;
 
@@ -8,11 +8,11 @@
 use serde::de::{Deserializer, Error, Visitor};
 use serde::{Deserialize, Serialize, Serializer};
 
-/// Bytes in base64.
+/// Bytes, encoded in base64.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub(super) struct Base64(pub(super) Bytes);
 
-/// A 64-bit integer, written as a string and read as either form.
+/// A 64-bit integer, written as a string and read from a string or a number.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(super) struct Int64(pub(super) u64);
 
@@ -147,7 +147,7 @@
     Delete,
 }
 
-/// First key after all that start with `prefix`.
+/// Returns the exclusive end of the range of all keys that start with `prefix`.
 pub(super) fn prefix_end(prefix: &str) -> Bytes {
     let mut end = prefix.as_bytes().to_vec();
     while let Some(last) = end.pop() {
@@ -156,7 +156,7 @@
             return end.into();
         }
     }
-    // etcd's mark for "to the end".
+    // etcd reads a zero byte as "no upper limit".
     Bytes::from_static(&[0])
 }
 
--- a/tests/testsuite/operator_feed.rs
+++ b/tests/testsuite/operator_feed.rs
@@ -1,4 +1,5 @@
-//! Instances follow the store by a watch that is cut, or by their peers.
+//! Instances receive configuration changes after a watch is interrupted, or from
+//! their peers.
 
 use std::time::Duration;
 
@@ -9,7 +10,7 @@
 use crate::operator::{IN_FORCE_WAIT, Instance, down, start_platform};
 
 #[tokio::test]
-async fn a_watch_resumes_after_a_cut_without_listing_again() {
+async fn a_watch_resumes_after_an_interruption_without_listing_again() {
     let platform = start_platform().await;
     let (one, two) = (
         Instance::start("one", platform.address),
@@ -17,7 +18,7 @@
     );
     one.put("", 1).await;
     two.run_ms_in_force(1).await;
-    let ranges = two.store.calls().of(CallKind::Range);
+    let range_calls = two.store.calls().of(CallKind::Range);
     platform.update_faults(&FaultUpdate {
         block_instances: Some(vec!["two".to_owned()]),
         ..FaultUpdate::default()
@@ -30,33 +31,33 @@
         ..FaultUpdate::default()
     });
     two.run_ms_in_force(2).await;
-    let after = two.store.calls().of(CallKind::Range);
-    assert_eq!(after, ranges);
+    let range_calls_after = two.store.calls().of(CallKind::Range);
+    assert_eq!(range_calls_after, range_calls);
 }
 
 #[tokio::test]
-async fn a_fresh_instance_is_fed_by_a_peer_while_the_store_is_down() {
+async fn a_new_instance_is_configured_by_a_peer_while_the_store_is_down() {
     let platform = start_platform().await;
     let one = Instance::start("one", platform.address);
     one.put("", 3).await;
     one.run_ms_in_force(3).await;
     down(&platform, true);
-    let fresh = Instance::start("fresh", platform.address);
-    fresh.config.set_watching(false);
+    let new = Instance::start("fresh", platform.address);
+    new.config.set_watching(false);
     let revision = one.config.current().revision;
-    let request = fresh.config.request_if_behind(revision).unwrap();
+    let request = new.config.request_if_behind(revision).unwrap();
     let changes = one.config.changes_after(request.after_revision);
-    assert_eq!(fresh.config.apply_from_peer(&changes), None);
-    assert_eq!(fresh.config.current(), one.config.current());
-    assert_eq!(fresh.config.request_if_behind(revision), None);
+    assert_eq!(new.config.apply_from_peer(&changes), None);
+    assert_eq!(new.config.current(), one.config.current());
+    assert_eq!(new.config.request_if_behind(revision), None);
     assert_eq!(
-        fresh.get("/v1/services/pay").await.body["spec"]["declared_run_ms"],
+        new.get("/v1/services/pay").await.body["spec"]["declared_run_ms"],
         3
     );
 }
 
 #[tokio::test]
-async fn an_instance_that_does_not_watch_follows_its_peers() {
+async fn an_instance_that_does_not_watch_is_updated_by_its_peers() {
     let platform = start_platform().await;
     let one = Instance::start("one", platform.address);
     let two = Instance::start("two", platform.address);
--- a/tests/testsuite/operator_sources.rs
+++ b/tests/testsuite/operator_sources.rs
@@ -1,5 +1,5 @@
-//! What an instance reads from the platform, through a connection that hangs
-//! and a list that changes.
+//! Reads from the platform's store: broken connections, the instance list, errors
+//! and paging.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -22,39 +22,42 @@
 
 const WAIT: Duration = Duration::from_secs(5);
 
-/// Relays connections; those open when it is frozen carry nothing any more
-/// and stay open.
+/// A TCP proxy. Connections that are open when it is frozen stay open, but carry no
+/// more data.
 struct Relay {
     address: SocketAddr,
-    frozen: watch::Sender<u64>,
+    freeze_count: watch::Sender<u64>,
 }
 
 impl Relay {
     async fn start(upstream: SocketAddr) -> Self {
         let listener = TcpListener::bind(("127.0.0.1", 0)).await.unwrap();
         let address = listener.local_addr().unwrap();
-        let frozen = watch::Sender::new(0);
-        let freezes = frozen.clone();
+        let freeze_count = watch::Sender::new(0);
+        let sender = freeze_count.clone();
         tokio::spawn(async move {
-            while let Ok((near, _)) = listener.accept().await {
-                tokio::spawn(relay(near, upstream, freezes.subscribe()));
+            while let Ok((client, _)) = listener.accept().await {
+                tokio::spawn(relay(client, upstream, sender.subscribe()));
             }
         });
-        Self { address, frozen }
+        Self {
+            address,
+            freeze_count,
+        }
     }
 
     fn freeze(&self) {
-        self.frozen.send_modify(|count| *count += 1);
+        self.freeze_count.send_modify(|count| *count += 1);
     }
 }
 
-async fn relay(mut near: TcpStream, upstream: SocketAddr, mut frozen: watch::Receiver<u64>) {
-    let mut far = TcpStream::connect(upstream).await.unwrap();
+async fn relay(mut client: TcpStream, upstream: SocketAddr, mut freezes: watch::Receiver<u64>) {
+    let mut server = TcpStream::connect(upstream).await.unwrap();
     tokio::select! {
-        _ = copy_bidirectional(&mut near, &mut far) => return,
-        _ = frozen.changed() => {}
+        _ = copy_bidirectional(&mut client, &mut server) => return,
+        _ = freezes.changed() => {}
     }
-    // Holds both ends open until the test ends.
+    // Keeps both connections open until the test ends.
     std::future::pending::<()>().await;
 }
 
@@ -72,23 +75,23 @@
 }
 
 #[tokio::test]
-async fn a_watch_that_hangs_is_noticed_within_seconds() {
+async fn a_watch_without_data_is_reopened_within_seconds() {
     let platform = start_platform().await;
     let relay = Relay::start(platform.address).await;
-    let near = Instance::start("near", platform.address);
-    let far = Instance::start("far", relay.address);
-    near.put("", 1).await;
-    far.run_ms_in_force(1).await;
-    let opened = far.store.calls().of(CallKind::Watch);
+    let direct = Instance::start("direct", platform.address);
+    let relayed = Instance::start("relayed", relay.address);
+    direct.put("", 1).await;
+    relayed.run_ms_in_force(1).await;
+    let watches = relayed.store.calls().of(CallKind::Watch);
     relay.freeze();
-    near.put("", 2).await;
-    near.run_ms_in_force(2).await;
-    far.run_ms_in_force(2).await;
-    assert_eq!(far.store.calls().of(CallKind::Watch), opened + 1);
+    direct.put("", 2).await;
+    direct.run_ms_in_force(2).await;
+    relayed.run_ms_in_force(2).await;
+    assert_eq!(relayed.store.calls().of(CallKind::Watch), watches + 1);
 }
 
 #[tokio::test]
-async fn the_instance_list_follows_the_platforms() {
+async fn the_instance_list_is_polled() {
     let platform = start_platform().await;
     let (store, settings) = store_of(&platform);
     let log = Logger::root(Discard, o!());
@@ -105,21 +108,21 @@
     platform.set_instances(vec![entry("two", "leaving")]);
     let one = list.wait_for(|list| list.len() == 1);
     timeout(WAIT, one).await.unwrap().unwrap();
-    // Whether a name is missing for long is counted by readings, so one that
-    // finds nothing new is told as well.
+    // An unchanged list is also notified, as the membership counts the reads from
+    // which an instance is missing.
     list.mark_unchanged();
     timeout(WAIT, list.changed()).await.unwrap().unwrap();
     assert_eq!(list.borrow().len(), 1);
 }
 
 #[tokio::test]
-async fn the_instance_list_is_read_only_while_switched_on() {
+async fn the_instance_list_is_polled_only_while_enabled() {
     let platform = start_platform().await;
     let (store, settings) = store_of(&platform);
     let log = Logger::root(Discard, o!());
     let polling = watch::Sender::new(false);
-    let edge = Arc::new(store.clone());
-    let mut list = instances::start_while(polling.subscribe(), edge, &settings, log);
+    let shared_store = Arc::new(store.clone());
+    let mut list = instances::start_while(polling.subscribe(), shared_store, &settings, log);
     platform.set_instances(vec![json!({"name": "one", "incarnation": 1,
         "failure_domain": "a", "state": "live"})]);
     tokio::time::sleep(Duration::from_millis(100)).await;
@@ -130,7 +133,7 @@
 }
 
 #[tokio::test]
-async fn an_error_tells_whether_a_write_may_have_taken_effect() {
+async fn errors_tell_whether_a_write_may_have_taken_effect() {
     let platform = start_platform().await;
     let (store, _) = store_of(&platform);
     drop_answers(&platform, 1);
@@ -145,9 +148,9 @@
     let slow = store.put_if("k", "2".into(), 0).await;
     assert!(matches!(slow, Err(StoreError::MayHaveApplied { .. })));
     assert!(!store.reachable());
-    let nobody = TcpListener::bind(("127.0.0.1", 0)).await.unwrap();
-    let address = nobody.local_addr().unwrap().to_string();
-    drop(nobody);
+    let listener = TcpListener::bind(("127.0.0.1", 0)).await.unwrap();
+    let address = listener.local_addr().unwrap().to_string();
+    drop(listener);
     let platform_settings = PlatformSettings {
         address,
         ..PlatformSettings::default()
@@ -161,7 +164,7 @@
 }
 
 #[tokio::test]
-async fn a_listing_spans_pages() {
+async fn a_listing_reads_all_pages() {
     let platform = start_platform().await;
     let (store, _) = store_of(&platform);
     for number in 0..501 {
