--- a/crates/core/examples/engine_load.rs
+++ b/crates/core/examples/engine_load.rs
@@ -116,7 +116,7 @@
 fn policies() -> Vec<(&'static str, EngineSettings)> {
     let owned = EngineSettings::default();
     let arrival = EngineSettings {
-        order: QueueOrder::Arrival,
+        order: QueueOrder::Fifo,
         ..owned.clone()
     };
     let fifo = EngineSettings {
--- a/crates/core/src/engine.rs
+++ b/crates/core/src/engine.rs
@@ -38,7 +38,7 @@
 pub use event::{Submission, Task, TaskId, TaskOutcome, WaiterId, Worker, WorkerId};
 pub use failure::FailureReason;
 pub use lending::{SlotMessage, SlotMessageBody, WorkerSlots};
-pub use remembered::{Memory, RememberedJob};
+pub use remembered::{RememberedJob, RememberedJobs};
 pub use settings::{EngineSettings, QueueOrder};
 pub use stats::EngineStats;
 
@@ -218,7 +218,7 @@
     }
 
     /// Drops a waiter that went away; the job goes on.
-    pub fn forget_waiter(&self, key: &JobKey, waiter: WaiterId) {
+    pub fn remove_waiter(&self, key: &JobKey, waiter: WaiterId) {
         let mut shard = self.shard(key);
         let Some(entry) = shard.get(key) else {
             return;
--- a/crates/core/src/engine/ejection.rs
+++ b/crates/core/src/engine/ejection.rs
@@ -8,7 +8,7 @@
 
 use trefoil_schema::settings::WorkerSettings;
 
-use super::health::{WorkerHealth, WorkerStanding, typical_ms};
+use super::health::{HealthState, WorkerHealth, typical_ms};
 use crate::time::Now;
 
 /// Weight of a new outcome in a worker's failure rate.
@@ -217,7 +217,7 @@
             _ => typical_ms(self.run_log2),
         };
         WorkerHealth {
-            standing: WorkerStanding::of(self.standing, now, is_seen, is_slow),
+            state: HealthState::of(self.standing, now, is_seen, is_slow),
             slots_owned,
             typical_ms: typical,
             service_typical_ms: typical_ms(run_log2),
--- a/crates/core/src/engine/health.rs
+++ b/crates/core/src/engine/health.rs
@@ -7,9 +7,9 @@
 
 /// How a worker does at this instance.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum WorkerStanding {
+pub enum HealthState {
     /// No outcome of any task yet.
-    Unseen,
+    Unobserved,
     /// It gets work as its slots allow.
     Serving,
     /// It takes longer than its peers and is chosen after them.
@@ -27,7 +27,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct WorkerHealth {
     /// How it does.
-    pub standing: WorkerStanding,
+    pub state: HealthState,
     /// Slots of it that this instance may use.
     pub slots_owned: u32,
     /// Its typical run time in milliseconds, rounded; 0 before any.
@@ -63,7 +63,7 @@
     }
 }
 
-impl WorkerStanding {
+impl HealthState {
     /// The standing for people behind the one that decides.
     pub(super) fn of(standing: Standing, now: Now, is_seen: bool, is_slow: bool) -> Self {
         match standing {
@@ -71,7 +71,7 @@
                 for_ms: until_ms.saturating_sub(now.mono_ms),
             },
             Standing::Probation => Self::Probation,
-            Standing::Serving if !is_seen => Self::Unseen,
+            Standing::Serving if !is_seen => Self::Unobserved,
             Standing::Serving if is_slow => Self::Slow,
             Standing::Serving => Self::Serving,
         }
--- a/crates/core/src/engine/lending.rs
+++ b/crates/core/src/engine/lending.rs
@@ -46,7 +46,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum SlotMessageBody {
     /// Asks for a loan of so many slots.
-    Ask(u32),
+    Request(u32),
     /// Returns borrowed slots.
     Return(Vec<WorkerSlots>),
 }
--- a/crates/core/src/engine/loans.rs
+++ b/crates/core/src/engine/loans.rs
@@ -10,7 +10,7 @@
 impl Engine {
     /// Returns idle borrowed slots and asks for those that lack; to be called
     /// as often as [`Self::tick`], by an instance that has peers.
-    pub fn balance(&self, now: Now, out: &mut Vec<Command>) -> Vec<SlotMessage> {
+    pub fn balance_slots(&self, now: Now, out: &mut Vec<Command>) -> Vec<SlotMessage> {
         let registry = self.registry();
         let mut messages = Vec::new();
         for (service, pool) in registry.services() {
@@ -25,7 +25,13 @@
     }
 
     /// Answers a peer that asks for slots; nothing is lent while tasks wait.
-    pub fn lend(&self, now: Now, borrower: &str, service: &str, slots: u32) -> Vec<WorkerSlots> {
+    pub fn lend_slots(
+        &self,
+        now: Now,
+        borrower: &str,
+        service: &str,
+        slots: u32,
+    ) -> Vec<WorkerSlots> {
         let registry = self.registry();
         let Some(pool) = registry.pool(service) else {
             return Vec::new();
@@ -56,7 +62,7 @@
     }
 
     /// Takes back what a borrower returns.
-    pub fn take_back_slots(
+    pub fn reclaim_slots(
         &self,
         now: Now,
         borrower: &str,
--- a/crates/core/src/engine/pool/admit.rs
+++ b/crates/core/src/engine/pool/admit.rs
@@ -76,8 +76,8 @@
         let slack_ms = submission.timeout_ms.saturating_sub(longest_ms as u64);
         let latest_start_ms = now.mono_ms.saturating_add(slack_ms);
         let rank_ms = match self.settings.order {
-            QueueOrder::Arrival => now.mono_ms,
-            QueueOrder::Urgency => {
+            QueueOrder::Fifo => now.mono_ms,
+            QueueOrder::Priority => {
                 let by_size_ms = now.mono_ms + (SIZE_WEIGHT * size_ms) as u64;
                 let lead_ms = self.teams.lead_ms(team, now.mono_ms);
                 by_size_ms.min(latest_start_ms) + lead_ms as u64
--- a/crates/core/src/engine/pool/lend.rs
+++ b/crates/core/src/engine/pool/lend.rs
@@ -36,7 +36,7 @@
         let mut news = self.return_idle(now);
         if self.lends() && self.queue.first().is_some() && !self.workers.has_ready() {
             let ask = self.lending.ask(now.mono_ms, self.stats.tasks_queued);
-            news.extend(ask.map(|(peer, slots)| (peer, SlotMessageBody::Ask(slots))));
+            news.extend(ask.map(|(peer, slots)| (peer, SlotMessageBody::Request(slots))));
         }
         news
     }
--- a/crates/core/src/engine/remembered.rs
+++ b/crates/core/src/engine/remembered.rs
@@ -23,7 +23,7 @@
 
 /// All that an instance remembers.
 #[derive(Clone, Debug, Default)]
-pub struct Memory {
+pub struct RememberedJobs {
     /// Ended jobs, newest keys first.
     pub jobs: Vec<RememberedJob>,
     /// Keys issued before this time may have been forgotten, Unix milliseconds.
@@ -36,11 +36,11 @@
     ///
     /// After `Some`, no key is admitted any more: each shard is read under its
     /// lock, and whoever admits checks under it that the instance stays.
-    pub fn memory(&self, now: Now) -> Option<Memory> {
+    pub fn remembered_jobs(&self, now: Now) -> Option<RememberedJobs> {
         if !self.leaving.load(Ordering::Acquire) {
             return None;
         }
-        let mut memory = Memory::default();
+        let mut memory = RememberedJobs::default();
         for shard in &self.shards {
             let mut shard = lock(shard);
             shard.raise_horizon(self.horizon_ms(now));
@@ -82,7 +82,7 @@
 
     /// Answers for a key that this instance may never start: from memory, or
     /// with `absent`. A submission gives its body's `fingerprint`.
-    pub fn recall(
+    pub fn answer_without_admission(
         &self,
         now: Now,
         key: &JobKey,
--- a/crates/core/src/engine/settings.rs
+++ b/crates/core/src/engine/settings.rs
@@ -24,9 +24,9 @@
 pub enum QueueOrder {
     /// Small and urgent jobs first, shared out between teams.
     #[default]
-    Urgency,
+    Priority,
     /// First come, first served: the baseline.
-    Arrival,
+    Fifo,
 }
 
 impl Default for EngineSettings {
--- a/crates/core/tests/engine.rs
+++ b/crates/core/tests/engine.rs
@@ -7,8 +7,8 @@
 use trefoil_core::engine::*;
 use trefoil_core::verdict::Verdict;
 
-fn bench() -> Bench {
-    Bench::new(EngineSettings::default(), 2, 2)
+fn bench() -> EngineHarness {
+    EngineHarness::new(EngineSettings::default(), 2, 2)
 }
 
 #[test]
@@ -33,7 +33,7 @@
         };
         assert_eq!(results[..], expected[..]);
         assert_eq!(*replayed, number > 0);
-        assert_eq!(known(answer), (JobState::Complete, Verdict::Ran, ""));
+        assert_eq!(state_of(answer), (JobState::Complete, Verdict::Ran, ""));
     }
 }
 
@@ -80,7 +80,7 @@
     let job = key(0, "one");
     bench.submit(submission(&job, 1, 1000), true);
     bench.finish_all();
-    bench.pass_ms(600_001);
+    bench.advance_ms(600_001);
     assert_eq!(bench.engine.stats().keys, 0);
     bench.now.wall_ms = START_WALL_MS;
     bench.answers.clear();
@@ -100,7 +100,7 @@
         bench.finish(first.task, outcome);
         let answer = bench.answer();
         let expected = (JobState::Failed, Verdict::MayHaveRun, reason);
-        assert_eq!(known(&answer), expected);
+        assert_eq!(state_of(&answer), expected);
         assert_eq!(bench.engine.stats().tasks_queued, 0);
         assert_eq!(bench.finish_all(), 3);
         assert_eq!(bench.engine.stats().outcomes_dropped, 3);
@@ -113,14 +113,14 @@
     let mut bench = bench();
     bench.submit(submission(&key(0, "starts"), 4, 1000), true);
     bench.submit(submission(&key(0, "waits"), 1, 1000), true);
-    bench.pass_ms(999);
+    bench.advance_ms(999);
     assert!(bench.answers.is_empty());
-    bench.pass_ms(1);
+    bench.advance_ms(1);
     let answers: Vec<_> = bench.answers.drain(..).collect();
     let started = (JobState::Failed, Verdict::MayHaveRun, "deadline");
     let waited = (JobState::Failed, Verdict::NotRun, "deadline");
-    assert_eq!(known(&answers[0].1), started);
-    assert_eq!(known(&answers[1].1), waited);
+    assert_eq!(state_of(&answers[0].1), started);
+    assert_eq!(state_of(&answers[1].1), waited);
     assert_eq!(bench.finish_all(), 4);
 }
 
@@ -135,7 +135,7 @@
     assert_ne!(second.worker, first.worker);
     bench.finish(second.task, TaskOutcome::MayHaveRun("reset".to_owned()));
     assert!(bench.starts.is_empty());
-    assert_eq!(known(&bench.answer()).1, Verdict::MayHaveRun);
+    assert_eq!(state_of(&bench.answer()).1, Verdict::MayHaveRun);
 }
 
 #[test]
@@ -146,7 +146,7 @@
     bench.cancel(&job);
     let expected = (JobState::Cancelled, Verdict::MayHaveRun, "cancelled");
     for (_, answer) in bench.answers.drain(..) {
-        assert_eq!(known(&answer), expected);
+        assert_eq!(state_of(&answer), expected);
     }
     assert_eq!(bench.finish_all(), 4);
 }
@@ -156,7 +156,7 @@
     let mut settings = EngineSettings::default();
     settings.jobs.shards = 1;
     settings.jobs.results_bytes_max = 2;
-    let mut bench = Bench::new(settings, 1, 1);
+    let mut bench = EngineHarness::new(settings, 1, 1);
     for name in ["one", "two", "three"] {
         bench.submit(submission(&key(0, name), 1, 1000), true);
         bench.finish_all();
@@ -165,21 +165,21 @@
     bench.answers.clear();
     bench.submit(submission(&key(0, "one"), 1, 1000), true);
     let expected = (JobState::Complete, Verdict::Ran, "result_dropped");
-    assert_eq!(known(&bench.answer()), expected);
+    assert_eq!(state_of(&bench.answer()), expected);
 }
 
 #[test]
 fn beyond_keys_max_new_jobs_are_refused_and_known_ones_answered() {
     let mut settings = EngineSettings::default();
     settings.jobs.keys_max = 1;
-    let mut bench = Bench::new(settings, 1, 1);
+    let mut bench = EngineHarness::new(settings, 1, 1);
     bench.submit(submission(&key(0, "one"), 1, 1000), true);
     bench.submit(submission(&key(0, "two"), 1, 1000), true);
     let refusal = bench.refusal();
     assert_eq!(refusal.reason, RefusalReason::MemoryFull);
     assert_eq!(refusal.verdict, Verdict::NotRun);
     bench.finish_all();
-    assert_eq!(known(&bench.answer()).0, JobState::Complete);
+    assert_eq!(state_of(&bench.answer()).0, JobState::Complete);
 }
 
 #[test]
@@ -203,7 +203,7 @@
     let mut leaving = config(2, 2);
     let first = leaving.backend_servers.values_mut().next().unwrap();
     first.spec.state = trefoil_schema::resources::BackendServerState::Leaving;
-    bench.declare(&leaving);
+    bench.set_config(&leaving);
     bench.submit(submission(&key(0, "one"), 4, 1000), true);
     assert_eq!(bench.starts.len(), 2);
     assert_eq!(bench.starts[0].worker, bench.starts[1].worker);
--- a/crates/core/tests/engine_health.rs
+++ b/crates/core/tests/engine_health.rs
@@ -4,7 +4,7 @@
 
 use bytes::Bytes;
 use engine_support::*;
-use trefoil_core::engine::health::{ServiceHealth, WorkerStanding};
+use trefoil_core::engine::health::{HealthState, ServiceHealth};
 use trefoil_core::engine::*;
 
 const WORKERS: usize = 4;
@@ -14,14 +14,14 @@
     format!("worker-{worker:03}")
 }
 
-fn standing(bench: &Bench, worker: usize) -> WorkerStanding {
+fn standing(bench: &EngineHarness, worker: usize) -> HealthState {
     let health = bench.engine.worker_health(bench.now, &name(worker));
-    health.unwrap().standing
+    health.unwrap().state
 }
 
 /// Runs a job with one task on each free slot; `end` gives the outcome and the
 /// time of each worker's task.
-fn round(bench: &mut Bench, number: usize, end: impl Fn(WorkerId) -> (u64, TaskOutcome)) {
+fn round(bench: &mut EngineHarness, number: usize, end: impl Fn(WorkerId) -> (u64, TaskOutcome)) {
     let job = key(0, &format!("job-{number}"));
     bench.submit(submission(&job, WORKERS, 60_000), false);
     let mut ends: Vec<_> = bench.starts.drain(..).collect();
@@ -43,8 +43,8 @@
 
 #[test]
 fn a_worker_is_unseen_then_serving_or_slow() {
-    let mut bench = Bench::new(EngineSettings::default(), WORKERS, 1);
-    assert_eq!(standing(&bench, 0), WorkerStanding::Unseen);
+    let mut bench = EngineHarness::new(EngineSettings::default(), WORKERS, 1);
+    assert_eq!(standing(&bench, 0), HealthState::Unobserved);
     assert_eq!(bench.engine.worker_health(bench.now, "other"), None);
     let slow = WorkerId(1);
     for number in 0..10 {
@@ -57,8 +57,8 @@
         .map(|worker| standing(&bench, worker))
         .collect();
     let count = |wanted| standings.iter().filter(|one| **one == wanted).count();
-    assert_eq!(count(WorkerStanding::Slow), 1, "{standings:?}");
-    assert_eq!(count(WorkerStanding::Serving), 3, "{standings:?}");
+    assert_eq!(count(HealthState::Slow), 1, "{standings:?}");
+    assert_eq!(count(HealthState::Serving), 3, "{standings:?}");
     let health: Vec<_> = (0..WORKERS)
         .filter_map(|worker| bench.engine.worker_health(bench.now, &name(worker)))
         .collect();
@@ -69,7 +69,7 @@
 
 #[test]
 fn a_worker_that_fails_everything_is_ejected_for_a_time() {
-    let mut bench = Bench::new(EngineSettings::default(), WORKERS, 1);
+    let mut bench = EngineHarness::new(EngineSettings::default(), WORKERS, 1);
     let bad = WorkerId(1);
     for number in 0..20 {
         round(&mut bench, number, |worker| match worker == bad {
@@ -80,10 +80,10 @@
     let standings: Vec<_> = (0..WORKERS)
         .map(|worker| standing(&bench, worker))
         .collect();
-    let out = |standing: &&WorkerStanding| {
+    let out = |standing: &&HealthState| {
         matches!(
             standing,
-            WorkerStanding::Ejected { .. } | WorkerStanding::Probation
+            HealthState::Ejected { .. } | HealthState::Probation
         )
     };
     assert_eq!(standings.iter().filter(out).count(), 1, "{standings:?}");
--- a/crates/core/tests/engine_load.rs
+++ b/crates/core/tests/engine_load.rs
@@ -21,7 +21,7 @@
         ..load()
     };
     let mut arrival = urgency.clone();
-    arrival.engine.order = QueueOrder::Arrival;
+    arrival.engine.order = QueueOrder::Fifo;
     arrival.engine.admission = false;
     let (urgency, arrival) = (run(&urgency), run(&arrival));
     assert_eq!(urgency.refused + urgency.late + urgency.failed, 0);
--- a/crates/core/tests/engine_policy.rs
+++ b/crates/core/tests/engine_policy.rs
@@ -26,10 +26,10 @@
 
 #[test]
 fn a_smaller_share_takes_effect_as_tasks_finish() {
-    let mut bench = Bench::new(without_admission(), 2, 4);
+    let mut bench = EngineHarness::new(without_admission(), 2, 4);
     bench.submit(submission(&key(0, "one"), 100, 60_000), true);
     assert_eq!(bench.starts.len(), 8);
-    bench.members(&["a", "b"]);
+    bench.set_members(&["a", "b"]);
     assert_eq!(bench.engine.stats().slots_owned, 4);
     for finished in 1..=8_usize {
         let start = bench.starts.pop_front().unwrap();
@@ -42,32 +42,32 @@
 
 #[test]
 fn a_larger_share_waits_for_the_tasks_of_whoever_had_it() {
-    let mut bench = Bench::new(without_admission(), 2, 4);
-    bench.members(&["a", "b"]);
+    let mut bench = EngineHarness::new(without_admission(), 2, 4);
+    bench.set_members(&["a", "b"]);
     bench.submit(submission(&key(0, "one"), 100, 60_000), true);
     assert_eq!(bench.starts.len(), 4);
-    bench.members(&["a"]);
-    bench.pass_ms(999);
+    bench.set_members(&["a"]);
+    bench.advance_ms(999);
     assert_eq!(bench.engine.stats().tasks_running, 4);
-    bench.pass_ms(1);
+    bench.advance_ms(1);
     assert_eq!(bench.engine.stats().tasks_running, 8);
 }
 
 #[test]
 fn an_instance_that_joins_waits_for_the_tasks_of_the_others() {
-    let mut bench = Bench::new(without_admission(), 2, 4);
-    bench.members(&["b"]);
-    bench.members(&["a", "b"]);
+    let mut bench = EngineHarness::new(without_admission(), 2, 4);
+    bench.set_members(&["b"]);
+    bench.set_members(&["a", "b"]);
     bench.submit(submission(&key(0, "one"), 100, 60_000), true);
     assert!(bench.starts.is_empty());
-    bench.pass_ms(1000);
+    bench.advance_ms(1000);
     assert_eq!(bench.starts.len(), 4);
 }
 
 #[test]
 fn an_instance_that_is_not_a_member_starts_nothing() {
-    let mut bench = Bench::new(without_admission(), 2, 4);
-    bench.members(&["b"]);
+    let mut bench = EngineHarness::new(without_admission(), 2, 4);
+    bench.set_members(&["b"]);
     bench.submit(submission(&key(0, "one"), 1, 1000), true);
     let refusal = bench.refusal();
     assert_eq!(refusal.reason, RefusalReason::NoWorkers);
@@ -76,10 +76,10 @@
 
 #[test]
 fn a_team_keeps_within_its_slots_and_others_use_the_rest() {
-    let mut bench = Bench::new(without_admission(), 2, 4);
+    let mut bench = EngineHarness::new(without_admission(), 2, 4);
     let mut bounded = config(2, 4);
     bounded.teams.get_mut("red").unwrap().spec.slots_max = 3;
-    bench.declare(&bounded);
+    bench.set_config(&bounded);
     for name in ["one", "two"] {
         bench.submit(submission(&key(0, name), 10, 60_000), true);
     }
@@ -96,10 +96,10 @@
 
 #[test]
 fn a_job_set_aside_goes_on_when_the_one_before_it_is_cancelled() {
-    let mut bench = Bench::new(without_admission(), 2, 1);
+    let mut bench = EngineHarness::new(without_admission(), 2, 1);
     let mut bounded = config(2, 1);
     bounded.teams.get_mut("red").unwrap().spec.slots_max = 1;
-    bench.declare(&bounded);
+    bench.set_config(&bounded);
     for name in ["first", "second", "third"] {
         bench.submit(submission(&key(0, name), 1, 60_000), true);
     }
@@ -118,10 +118,10 @@
 
 #[test]
 fn a_team_beyond_its_queue_is_refused_alone() {
-    let mut bench = Bench::new(without_admission(), 1, 1);
+    let mut bench = EngineHarness::new(without_admission(), 1, 1);
     let mut bounded = config(1, 1);
     bounded.teams.get_mut("red").unwrap().spec.queued_tasks_max = 5;
-    bench.declare(&bounded);
+    bench.set_config(&bounded);
     bench.submit(submission(&key(0, "one"), 5, 60_000), true);
     bench.submit(submission(&key(0, "two"), 5, 60_000), true);
     let refusal = bench.refusal();
@@ -138,7 +138,7 @@
 
 #[test]
 fn a_team_that_floods_does_not_hold_up_another() {
-    let mut bench = Bench::new(without_admission(), 1, 4);
+    let mut bench = EngineHarness::new(without_admission(), 1, 4);
     for number in 0..200 {
         let name = format!("red-{number}");
         bench.submit(submission(&key(0, &name), 4, 300_000), true);
@@ -163,7 +163,7 @@
 
 #[test]
 fn retries_keep_within_their_budget_and_a_job_never_run_says_so() {
-    let mut bench = Bench::new(without_admission(), 10, 8);
+    let mut bench = EngineHarness::new(without_admission(), 10, 8);
     for number in 0..200 {
         let name = format!("job-{number}");
         bench.submit(submission(&key(0, &name), 1, 600_000), true);
@@ -172,13 +172,13 @@
         while let Some(start) = bench.starts.pop_front() {
             bench.finish(start.task, refused());
         }
-        bench.pass_ms(10);
+        bench.advance_ms(10);
     }
     let stats = bench.engine.stats();
     assert_eq!(bench.answers.len(), 200);
     assert!(stats.tasks_retried <= 10 + 200 / 10, "{stats:?}");
     for (_, answer) in &bench.answers {
-        let (state, verdict, reason) = known(answer);
+        let (state, verdict, reason) = state_of(answer);
         assert_eq!((state, verdict), (JobState::Failed, Verdict::NotRun));
         assert!(matches!(reason, "retry_budget" | "task_refused"));
     }
@@ -186,7 +186,7 @@
 
 #[test]
 fn a_wave_of_cancellations_frees_every_queue_place() {
-    let mut bench = Bench::new(without_admission(), 1, 1);
+    let mut bench = EngineHarness::new(without_admission(), 1, 1);
     for number in 0..1000 {
         let name = format!("job-{number}");
         bench.submit(submission(&key(0, &name), 10, 60_000), true);
@@ -202,7 +202,7 @@
 
 #[test]
 fn a_refusal_for_overload_says_when_and_says_it_alike() {
-    let mut bench = Bench::new(EngineSettings::default(), 1, 1);
+    let mut bench = EngineHarness::new(EngineSettings::default(), 1, 1);
     bench.submit(submission(&key(0, "one"), 40, 60_000), true);
     let mut waits_ms = Vec::new();
     for _ in 0..2 {
@@ -222,7 +222,7 @@
 
 #[test]
 fn threads_that_submit_the_same_keys_start_each_once() {
-    let engine = Bench::new(without_admission(), 10, 8).engine;
+    let engine = EngineHarness::new(without_admission(), 10, 8).engine;
     let engine = Arc::new(engine);
     let (starts, answers) = (
         Arc::new(Mutex::new(Vec::new())),
@@ -282,7 +282,7 @@
         let mut settings = without_admission();
         settings.jobs.keys_max = 6;
         settings.jobs.key_window_ms = 5000;
-        let mut history = History::new(Bench::new(settings, 3, 2));
+        let mut history = History::new(EngineHarness::new(settings, 3, 2));
         while !u.is_empty() {
             history.step(u)?;
             history.check();
@@ -293,7 +293,7 @@
 
 /// A bench whose every start and answer is checked.
 struct History {
-    bench: Bench,
+    bench: EngineHarness,
     out: Vec<Start>,
     /// Tasks started, and whether their last placement provably did not run.
     tasks: HashMap<(String, u32), bool>,
@@ -303,7 +303,7 @@
 }
 
 impl History {
-    fn new(bench: Bench) -> Self {
+    fn new(bench: EngineHarness) -> Self {
         Self {
             bench,
             out: Vec::new(),
@@ -327,10 +327,10 @@
                 let waiter = self.bench.cancel(&job);
                 self.waiters.insert(waiter, job.to_string());
             }
-            5 => self.bench.pass_ms(u.int_in_range(1..=1500)?),
+            5 => self.bench.advance_ms(u.int_in_range(1..=1500)?),
             6 => {
                 let members: &[&str] = if u.arbitrary()? { &["a"] } else { &["a", "b"] };
-                self.bench.members(members);
+                self.bench.set_members(members);
             }
             _ => self.finish(u)?,
         }
--- a/crates/core/tests/engine_support/mod.rs
+++ b/crates/core/tests/engine_support/mod.rs
@@ -85,7 +85,7 @@
 }
 
 /// The engine, its clock and the commands not yet looked at.
-pub struct Bench {
+pub struct EngineHarness {
     pub engine: Engine,
     pub now: Now,
     pub starts: VecDeque<Start>,
@@ -93,7 +93,7 @@
     next_waiter: u64,
 }
 
-impl Bench {
+impl EngineHarness {
     /// The only instance of its failure domain, with `workers` workers.
     pub fn new(settings: EngineSettings, workers: usize, slots: u32) -> Self {
         let mut bench = Self {
@@ -107,8 +107,8 @@
             next_waiter: 0,
         };
         bench.engine.set_admission_limit(u64::MAX);
-        bench.members(&["a"]);
-        bench.declare(&config(workers, slots));
+        bench.set_members(&["a"]);
+        bench.set_config(&config(workers, slots));
         bench
     }
 
@@ -137,11 +137,11 @@
         }
     }
 
-    pub fn declare(&mut self, config: &ConfigSnapshot) {
+    pub fn set_config(&mut self, config: &ConfigSnapshot) {
         self.call(|engine, now, out| engine.set_config(now, config, out));
     }
 
-    pub fn members(&mut self, members: &[&str]) {
+    pub fn set_members(&mut self, members: &[&str]) {
         let members: Vec<String> = members.iter().map(|name| name.to_string()).collect();
         self.call(|engine, now, out| engine.set_domain_members(now, "a", &members, out));
     }
@@ -182,7 +182,7 @@
         finished
     }
 
-    pub fn pass_ms(&mut self, ms: u64) {
+    pub fn advance_ms(&mut self, ms: u64) {
         self.now = self.now.plus_ms(ms);
         self.call(|engine, now, out| engine.tick(now, out));
     }
@@ -203,7 +203,7 @@
 }
 
 /// State, verdict and reason of an answer about a known job.
-pub fn known(answer: &JobAnswer) -> (JobState, trefoil_core::verdict::Verdict, &'static str) {
+pub fn state_of(answer: &JobAnswer) -> (JobState, trefoil_core::verdict::Verdict, &'static str) {
     match answer {
         JobAnswer::Known {
             state,
--- a/crates/core/tests/engine_support/virtual_load.rs
+++ b/crates/core/tests/engine_support/virtual_load.rs
@@ -329,16 +329,16 @@
     fn balance(&mut self, now_ms: u64, instance: usize) {
         let mut messages = Vec::new();
         self.call(now_ms, instance, |engine, now, out| {
-            messages = engine.balance(now, out);
+            messages = engine.balance_slots(now, out);
         });
         let me = format!("i{instance}");
         for SlotMessage { to, service, body } in messages {
             self.outcome.slot_messages += 1;
             let peer: usize = to[1..].parse().expect("is a number");
             match body {
-                SlotMessageBody::Ask(slots) => {
+                SlotMessageBody::Request(slots) => {
                     self.outcome.slot_messages += 1;
-                    let lent = self.engines[peer].lend(now(now_ms), &me, &service, slots);
+                    let lent = self.engines[peer].lend_slots(now(now_ms), &me, &service, slots);
                     self.outcome.slot_refusals += u64::from(lent.is_empty());
                     let loan_ms = self.load.engine.placement.loan_ms;
                     self.call(now_ms, instance, |engine, now, out| {
@@ -347,7 +347,7 @@
                 }
                 SlotMessageBody::Return(returned) => {
                     self.call(now_ms, peer, |engine, now, out| {
-                        engine.take_back_slots(now, &me, &service, &returned, out);
+                        engine.reclaim_slots(now, &me, &service, &returned, out);
                     });
                 }
             }
--- a/crates/core/tests/handover.rs
+++ b/crates/core/tests/handover.rs
@@ -2,7 +2,7 @@
 
 mod engine_support;
 
-use engine_support::{Bench, START_WALL_MS, key, known, submission};
+use engine_support::{EngineHarness, START_WALL_MS, key, state_of, submission};
 use trefoil_core::engine::{EngineSettings, JobState, Refusal, RefusalReason, WaiterId};
 use trefoil_core::handover::{Absence, Scope, Scopes};
 use trefoil_core::key::JobKey;
@@ -224,15 +224,15 @@
     }
 }
 
-fn recall(bench: &mut Bench, key: &JobKey, fingerprint: Option<u64>) {
+fn recall(bench: &mut EngineHarness, key: &JobKey, fingerprint: Option<u64>) {
     bench.call(|engine, now, out| {
-        engine.recall(now, key, fingerprint, absent(), WaiterId(99), out);
+        engine.answer_without_admission(now, key, fingerprint, absent(), WaiterId(99), out);
     });
 }
 
 /// A bench that has left, with `count` complete jobs.
-fn leaver(count: usize) -> Bench {
-    let mut bench = Bench::new(EngineSettings::default(), 2, 2);
+fn leaver(count: usize) -> EngineHarness {
+    let mut bench = EngineHarness::new(EngineSettings::default(), 2, 2);
     for number in 0..count {
         bench.submit(submission(&key(0, &number.to_string()), 2, 1_000), false);
         bench.finish_all();
@@ -244,13 +244,19 @@
 
 #[test]
 fn memory_is_read_only_once_new_keys_are_refused_and_nothing_runs() {
-    let mut bench = Bench::new(EngineSettings::default(), 1, 1);
-    assert!(bench.engine.memory(bench.now).is_none(), "takes new keys");
+    let mut bench = EngineHarness::new(EngineSettings::default(), 1, 1);
+    assert!(
+        bench.engine.remembered_jobs(bench.now).is_none(),
+        "takes new keys"
+    );
     bench.submit(submission(&key(0, "one"), 1, 1_000), true);
     bench.engine.set_leaving(true);
-    assert!(bench.engine.memory(bench.now).is_none(), "a job runs");
+    assert!(
+        bench.engine.remembered_jobs(bench.now).is_none(),
+        "a job runs"
+    );
     bench.finish_all();
-    let memory = bench.engine.memory(bench.now).unwrap();
+    let memory = bench.engine.remembered_jobs(bench.now).unwrap();
     assert_eq!(memory.jobs.len(), 1);
     assert_eq!(
         memory.from_ms,
@@ -261,8 +267,8 @@
 #[test]
 fn a_successor_answers_from_memory_and_starts_nothing() {
     let leaver = leaver(3);
-    let memory = leaver.engine.memory(leaver.now).unwrap();
-    let mut successor = Bench::new(EngineSettings::default(), 2, 2);
+    let memory = leaver.engine.remembered_jobs(leaver.now).unwrap();
+    let mut successor = EngineHarness::new(EngineSettings::default(), 2, 2);
     for job in memory.jobs {
         assert!(successor.engine.remember(successor.now, job.clone()));
         assert!(
@@ -273,7 +279,7 @@
     assert_eq!(successor.engine.stats().keys, 3);
     recall(&mut successor, &key(0, "1"), Some(7));
     let answer = successor.answer();
-    assert_eq!(known(&answer), (JobState::Complete, Verdict::Ran, ""));
+    assert_eq!(state_of(&answer), (JobState::Complete, Verdict::Ran, ""));
     recall(&mut successor, &key(0, "1"), Some(8));
     assert_eq!(successor.refusal().reason, RefusalReason::KeyReused);
     recall(&mut successor, &key(0, "other"), Some(7));
@@ -297,8 +303,8 @@
         jobs,
         ..EngineSettings::default()
     };
-    let mut successor = Bench::new(settings, 2, 2);
-    let memory = leaver.engine.memory(leaver.now).unwrap();
+    let mut successor = EngineHarness::new(settings, 2, 2);
+    let memory = leaver.engine.remembered_jobs(leaver.now).unwrap();
     let kept: Vec<bool> = memory
         .jobs
         .iter()
@@ -311,5 +317,5 @@
     recall(&mut successor, &memory.jobs[0].key, Some(7));
     let answer = successor.answer();
     let dropped = (JobState::Complete, Verdict::Ran, "result_dropped");
-    assert_eq!(known(&answer), dropped);
+    assert_eq!(state_of(&answer), dropped);
 }
--- a/crates/core/tests/lending.rs
+++ b/crates/core/tests/lending.rs
@@ -72,7 +72,7 @@
     }
 
     fn balance(&mut self, number: usize) -> Vec<SlotMessage> {
-        self.call(number, |engine, now, out| engine.balance(now, out))
+        self.call(number, |engine, now, out| engine.balance_slots(now, out))
     }
 
     /// The borrower asks and the lender answers; tells how many slots it lent.
@@ -81,7 +81,7 @@
         let [
             SlotMessage {
                 to,
-                body: SlotMessageBody::Ask(slots),
+                body: SlotMessageBody::Request(slots),
                 ..
             },
         ] = &messages[..]
@@ -90,7 +90,9 @@
         };
         assert_eq!(&**to, "b");
         let slots = *slots;
-        let lent = self.call(1, |engine, now, _| engine.lend(now, "a", "payroll", slots));
+        let lent = self.call(1, |engine, now, _| {
+            engine.lend_slots(now, "a", "payroll", slots)
+        });
         self.call(0, |engine, now, out| {
             engine.borrow_slots(now, "b", "payroll", &lent, LOAN_MS, out);
         });
@@ -105,7 +107,7 @@
             };
             returned += slots.iter().map(|slots| slots.slots).sum::<u32>();
             self.call(1, |engine, now, out| {
-                engine.take_back_slots(now, "a", "payroll", &slots, out);
+                engine.reclaim_slots(now, "a", "payroll", &slots, out);
             });
         }
         returned
--- a/crates/core/tests/session.rs
+++ b/crates/core/tests/session.rs
@@ -12,19 +12,19 @@
 
 /// Writes every command of a session down.
 struct Session {
-    bench: Bench,
+    bench: EngineHarness,
     log: String,
 }
 
 impl Session {
     fn new() -> Self {
         Self {
-            bench: Bench::new(EngineSettings::default(), 2, 1),
+            bench: EngineHarness::new(EngineSettings::default(), 2, 1),
             log: String::new(),
         }
     }
 
-    fn step(&mut self, title: &str, act: impl FnOnce(&mut Bench)) {
+    fn step(&mut self, title: &str, act: impl FnOnce(&mut EngineHarness)) {
         let started = self.bench.starts.len();
         act(&mut self.bench);
         let at_ms = self.bench.now.mono_ms;
@@ -94,14 +94,14 @@
     session.submit("submit pay, 3 tasks", &pay, 3, 5000);
     session.submit("submit check, 1 task", &check, 1, 5000);
     session.submit("submit pay again", &pay, 3, 5000);
-    session.bench.pass_ms(200);
+    session.bench.advance_ms(200);
     session.finish(
         "a worker refuses pay/0",
         TaskOutcome::NotRun("503".to_owned()),
     );
     session.finish("pay/1 is done", done("one"));
-    session.bench.pass_ms(100);
-    session.step("time passes", |bench| bench.pass_ms(100));
+    session.bench.advance_ms(100);
+    session.step("time passes", |bench| bench.advance_ms(100));
     while !session.bench.starts.is_empty() {
         let index = session.bench.starts[0].index;
         session.finish(&format!("a task of index {index} is done"), done("result"));
@@ -127,7 +127,7 @@
         "no answer for lost/0",
         TaskOutcome::MayHaveRun("reset".to_owned()),
     );
-    session.step("the key window passes", |bench| bench.pass_ms(600_001));
+    session.step("the key window passes", |bench| bench.advance_ms(600_001));
     session.submit("submit pay after its window", &pay, 3, 5000);
     expect![[r#"
         1000 ms: submit pay, 3 tasks
--- a/src/peers/handover.rs
+++ b/src/peers/handover.rs
@@ -13,7 +13,7 @@
 use tokio::sync::mpsc;
 use tokio::task::JoinSet;
 use tokio::time::{Instant, sleep, timeout, timeout_at};
-use trefoil_core::engine::{Memory, RememberedJob};
+use trefoil_core::engine::{RememberedJob, RememberedJobs};
 use trefoil_core::view::{Member, ViewLog};
 use trefoil_schema::peer::message::Body;
 use trefoil_schema::peer::{HandoverScope, InstanceRef, KeyHandover, KeyHandoverAck};
@@ -74,7 +74,7 @@
         // From here on no part is taken that could not be handed on.
         self.scopes().close();
         let now = self.context.runtime.now();
-        let Some(memory) = self.context.runtime.engine().memory(now) else {
+        let Some(memory) = self.context.runtime.engine().remembered_jobs(now) else {
             return HandoverReport::default();
         };
         let mut report = HandoverReport {
@@ -114,7 +114,7 @@
 
     /// One errand to each successor, also where it gets no key: the word that
     /// this is all counts for the keys that it did not get.
-    fn first_errands(&self, memory: Memory, proof: bool) -> Vec<Errand> {
+    fn first_errands(&self, memory: RememberedJobs, proof: bool) -> Vec<Errand> {
         let membership = self.membership();
         let Some(known) = membership.view_log(&self.domain) else {
             return Vec::new();
--- a/src/peers/lending.rs
+++ b/src/peers/lending.rs
@@ -32,7 +32,7 @@
     fn send_slots(&self, message: SlotMessage) {
         let service = message.service.to_string();
         let body = match message.body {
-            SlotMessageBody::Ask(slots) => Body::SlotRequest(SlotRequest { service, slots }),
+            SlotMessageBody::Request(slots) => Body::SlotRequest(SlotRequest { service, slots }),
             SlotMessageBody::Return(returned) => Body::SlotGrant(SlotGrant {
                 service,
                 slots: encode(returned),
@@ -48,7 +48,7 @@
         let lent =
             runtime
                 .engine()
-                .lend(runtime.now(), &from.name, &request.service, request.slots);
+                .lend_slots(runtime.now(), &from.name, &request.service, request.slots);
         let grant = SlotGrant {
             service: request.service,
             slots: encode(lent),
--- a/src/runtime.rs
+++ b/src/runtime.rs
@@ -206,7 +206,7 @@
         self.answer(key.clone(), |waiter, out| {
             let now = self.now();
             self.engine
-                .recall(now, key, fingerprint, absent, waiter, out);
+                .answer_without_admission(now, key, fingerprint, absent, waiter, out);
         })
         .await
     }
@@ -230,7 +230,7 @@
     /// Starts what has a slot, and gives what to tell peers about slots.
     pub fn balance(self: &Arc<Self>) -> Vec<SlotMessage> {
         let mut out = Vec::new();
-        let messages = self.engine.balance(self.now(), &mut out);
+        let messages = self.engine.balance_slots(self.now(), &mut out);
         self.execute(&mut out);
         messages
     }
@@ -260,7 +260,7 @@
         let mut out = Vec::new();
         let now = self.now();
         self.engine
-            .take_back_slots(now, borrower, service, returned, &mut out);
+            .reclaim_slots(now, borrower, service, returned, &mut out);
         self.execute(&mut out);
     }
 
--- a/src/runtime/waiters.rs
+++ b/src/runtime/waiters.rs
@@ -98,7 +98,7 @@
     fn drop(&mut self) {
         let unanswered = self.runtime.waiters.remove(self.waiter).is_some();
         if unanswered {
-            self.runtime.engine.forget_waiter(&self.key, self.waiter);
+            self.runtime.engine.remove_waiter(&self.key, self.waiter);
         }
     }
 }
--- a/src/server/conditions.rs
+++ b/src/server/conditions.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 
 use trefoil_core::config::{ConfigSnapshot, ResourceKey};
-use trefoil_core::engine::health::{ServiceHealth, WorkerHealth, WorkerStanding};
+use trefoil_core::engine::health::{HealthState, ServiceHealth, WorkerHealth};
 use trefoil_schema::resources::{
     BackendServerState, Condition, ConditionStatus, Kind, ServiceSpec, Targets,
 };
@@ -100,21 +100,21 @@
         ..
     } = health;
     let times = format!("its tasks take {typical_ms} ms here, the service's {service_typical_ms}");
-    match health.standing {
-        WorkerStanding::Unseen => {
+    match health.state {
+        HealthState::Unobserved => {
             let message = "no task has ended on it here yet".to_owned();
             healthy(ConditionStatus::Unknown, "NoCalls", message)
         }
-        WorkerStanding::Serving => healthy(ConditionStatus::True, "Serving", times),
-        WorkerStanding::Slow => {
+        HealthState::Serving => healthy(ConditionStatus::True, "Serving", times),
+        HealthState::Slow => {
             let message = format!("{times}; it is chosen after its peers");
             healthy(ConditionStatus::False, "Slow", message)
         }
-        WorkerStanding::Probation => {
+        HealthState::Probation => {
             let message = "it was ejected, and gets one task at a time here".to_owned();
             healthy(ConditionStatus::False, "Probation", message)
         }
-        WorkerStanding::Ejected { for_ms } => {
+        HealthState::Ejected { for_ms } => {
             let message = format!(
                 "it failed, or took far longer than its peers; no task here for {for_ms} ms"
             );
