--- a/crates/core/src/engine.rs
+++ b/crates/core/src/engine.rs
@@ -124,7 +124,7 @@
         submission: Submission,
         out: &mut Vec<Command>,
     ) -> Result<(), Refusal> {
-        let (pool, team) = self.check_new(now, shard, &submission)?;
+        let (pool, team) = self.check_admissible(now, shard, &submission)?;
         let key = Arc::new(submission.key.clone());
         let fingerprint = submission.fingerprint;
         let tasks_total = submission.tasks.len() as u32;
@@ -142,7 +142,7 @@
         Ok(())
     }
 
-    fn check_new(
+    fn check_admissible(
         &self,
         now: Now,
         shard: &JobShard,
@@ -236,7 +236,11 @@
         outcome: TaskOutcome,
         out: &mut Vec<Command>,
     ) {
-        let Some(pool) = self.registry().pool_at(Pool::number_of(task)).cloned() else {
+        let Some(pool) = self
+            .registry()
+            .pool_by_number(Pool::pool_number(task))
+            .cloned()
+        else {
             return;
         };
         let ended = pool.lock().task_finished(now, task, outcome, out);
@@ -257,8 +261,8 @@
         for shard in &self.shards {
             let mut shard = lock(shard);
             shard.raise_horizon(self.horizon_ms(now));
-            let forgotten = shard.forget_expired();
-            self.keys.fetch_sub(forgotten as u64, Ordering::Relaxed);
+            let removed = shard.remove_expired();
+            self.keys.fetch_sub(removed as u64, Ordering::Relaxed);
         }
     }
 
--- a/crates/core/src/engine/admission.rs
+++ b/crates/core/src/engine/admission.rs
@@ -9,10 +9,10 @@
 use super::queue::JobQueue;
 
 /// Allowance for estimates that are too short.
-const SAFETY: f64 = 1.2;
+const SAFETY_FACTOR: f64 = 1.2;
 /// The same for a team ahead of its fair share, so that its jobs leave room
 /// for those of others.
-const SAFETY_AHEAD: f64 = 2.4;
+const SAFETY_FACTOR_ABOVE_SHARE: f64 = 2.4;
 
 /// What the service can do now.
 #[derive(Clone, Copy, Debug)]
@@ -27,13 +27,13 @@
 
 /// What a job asks for.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Demand {
+pub(crate) struct JobDemand {
     pub rank_ms: u64,
     pub tasks: u32,
     /// Latest start of its last task, from now.
     pub slack_ms: f64,
     /// Whether its team is ahead of its fair share.
-    pub ahead: bool,
+    pub above_fair_share: bool,
 }
 
 impl Capacity {
@@ -48,17 +48,22 @@
     now_ms: u64,
     queue: &JobQueue,
     capacity: Capacity,
-    demand: Demand,
+    demand: JobDemand,
 ) -> Option<f64> {
-    let safety = if demand.ahead { SAFETY_AHEAD } else { SAFETY };
+    let safety_factor = if demand.above_fair_share {
+        SAFETY_FACTOR_ABOVE_SHARE
+    } else {
+        SAFETY_FACTOR
+    };
     let own_position = queue.tasks_up_to(demand.rank_ms) + u64::from(demand.tasks);
-    let own = safety * capacity.wait_ms(own_position as f64) - demand.slack_ms;
+    let own_excess_ms = safety_factor * capacity.wait_ms(own_position as f64) - demand.slack_ms;
     let mut position = own_position;
-    let mut worst = own;
-    for level in queue.levels_after(demand.rank_ms) {
-        position += level.tasks;
-        let slack_ms = level.latest_start_ms.saturating_sub(now_ms) as f64;
-        worst = worst.max(safety * capacity.wait_ms(position as f64) - slack_ms);
+    let mut worst_excess_ms = own_excess_ms;
+    for bucket in queue.buckets_after(demand.rank_ms) {
+        position += bucket.tasks;
+        let slack_ms = bucket.latest_start_ms.saturating_sub(now_ms) as f64;
+        worst_excess_ms =
+            worst_excess_ms.max(safety_factor * capacity.wait_ms(position as f64) - slack_ms);
     }
-    (worst > 0.0).then_some(worst)
+    (worst_excess_ms > 0.0).then_some(worst_excess_ms)
 }
--- a/crates/core/src/engine/event.rs
+++ b/crates/core/src/engine/event.rs
@@ -61,7 +61,7 @@
 
 impl Worker {
     /// Slots that take new work.
-    pub fn open_slots(&self) -> u32 {
+    pub fn assignable_slots(&self) -> u32 {
         match self.leaving {
             true => 0,
             false => self.slots,
--- a/crates/core/src/engine/health.rs
+++ b/crates/core/src/engine/health.rs
@@ -2,7 +2,7 @@
 //! decides on placement.
 
 use super::Engine;
-use super::ejection::Standing;
+use super::ejection::EjectionState;
 use crate::time::Now;
 
 /// How a worker does at this instance.
@@ -65,15 +65,15 @@
 
 impl HealthState {
     /// The standing for people behind the one that decides.
-    pub(super) fn of(standing: Standing, now: Now, is_seen: bool, is_slow: bool) -> Self {
-        match standing {
-            Standing::Ejected { until_ms } => Self::Ejected {
+    pub(super) fn of(state: EjectionState, now: Now, is_observed: bool, is_slow: bool) -> Self {
+        match state {
+            EjectionState::Ejected { until_ms } => Self::Ejected {
                 for_ms: until_ms.saturating_sub(now.mono_ms),
             },
-            Standing::Probation => Self::Probation,
-            Standing::Serving if !is_seen => Self::Unobserved,
-            Standing::Serving if is_slow => Self::Slow,
-            Standing::Serving => Self::Serving,
+            EjectionState::Probation => Self::Probation,
+            EjectionState::Serving if !is_observed => Self::Unobserved,
+            EjectionState::Serving if is_slow => Self::Slow,
+            EjectionState::Serving => Self::Serving,
         }
     }
 }
--- a/crates/core/src/engine/job.rs
+++ b/crates/core/src/engine/job.rs
@@ -19,7 +19,7 @@
 
 /// A task that a worker refused before start, to be placed again.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct ReturnedTask {
+pub(crate) struct RefusedTask {
     pub index: u32,
     /// Placements so far.
     pub attempts: u32,
@@ -37,7 +37,7 @@
 
 /// An admitted job that is not final.
 #[derive(Debug)]
-pub(crate) struct JobWork {
+pub(crate) struct ActiveJob {
     pub key: Arc<JobKey>,
     pub team: TeamIndex,
     /// Position in the queue's order; smaller goes first.
@@ -48,19 +48,19 @@
     pub parked: bool,
     /// Payload of each task until it is done, then its result.
     pub tasks: Vec<Bytes>,
-    pub returned: Vec<ReturnedTask>,
+    pub refused_tasks: Vec<RefusedTask>,
     /// First index that was never placed.
-    pub unplaced: u32,
+    pub next_unplaced: u32,
     pub running: u32,
     pub done: u32,
     /// Whether a placement had an outcome other than `NotRun`.
-    pub touched: bool,
+    pub may_have_run: bool,
 }
 
-impl JobWork {
+impl ActiveJob {
     /// Tasks waiting for a slot.
     pub fn queued(&self) -> u32 {
-        self.total() - self.unplaced + self.returned.len() as u32
+        self.total() - self.next_unplaced + self.refused_tasks.len() as u32
     }
 
     /// Tasks without a result.
@@ -75,15 +75,15 @@
 
     /// The task to place next; refused ones go first, being the oldest.
     pub fn peek(&self) -> Option<NextTask> {
-        if let Some(returned) = self.returned.last() {
+        if let Some(refused) = self.refused_tasks.last() {
             return Some(NextTask {
-                index: returned.index,
-                attempt: returned.attempts + 1,
-                avoid: Some(returned.refused_by),
+                index: refused.index,
+                attempt: refused.attempts + 1,
+                avoid: Some(refused.refused_by),
             });
         }
-        (self.unplaced < self.total()).then_some(NextTask {
-            index: self.unplaced,
+        (self.next_unplaced < self.total()).then_some(NextTask {
+            index: self.next_unplaced,
             attempt: 1,
             avoid: None,
         })
@@ -91,15 +91,15 @@
 
     /// Takes the task that [`Self::peek`] shows.
     pub fn take_next(&mut self) {
-        if self.returned.pop().is_none() {
-            self.unplaced += 1;
+        if self.refused_tasks.pop().is_none() {
+            self.next_unplaced += 1;
         }
         self.running += 1;
     }
 
     /// What is known if the job ends now without a whole answer.
     pub fn verdict(&self) -> Verdict {
-        match self.touched || self.running > 0 {
+        match self.may_have_run || self.running > 0 {
             true => Verdict::MayHaveRun,
             false => Verdict::NotRun,
         }
@@ -134,20 +134,20 @@
     }
 
     /// The end of a job without a whole answer.
-    pub fn cut_short(
-        work: &JobWork,
+    pub fn incomplete(
+        active: &ActiveJob,
         state: JobState,
         reason: FailureReason,
         detail: String,
     ) -> Self {
         Self {
             state,
-            verdict: work.verdict(),
+            verdict: active.verdict(),
             results: Arc::default(),
             reason: reason.name(),
             detail: detail.into(),
-            tasks_done: work.done,
-            tasks_total: work.total(),
+            tasks_done: active.done,
+            tasks_total: active.total(),
         }
     }
 
--- a/crates/core/src/engine/job_table.rs
+++ b/crates/core/src/engine/job_table.rs
@@ -19,7 +19,7 @@
 use crate::key::JobKey;
 
 /// Most keys forgotten by one call, so that a call stays short.
-const FORGET_BATCH: usize = 256;
+const EXPIRE_BATCH: usize = 256;
 
 /// Someone who waits for a job's end.
 #[derive(Clone, Copy, Debug)]
@@ -168,9 +168,9 @@
     }
 
     /// Forgets some of the keys behind the horizon.
-    pub fn forget_expired(&mut self) -> usize {
-        let mut forgotten = 0;
-        while forgotten < FORGET_BATCH {
+    pub fn remove_expired(&mut self) -> usize {
+        let mut removed = 0;
+        while removed < EXPIRE_BATCH {
             let Some((issued_ms, key)) = self.by_issue_time.first() else {
                 break;
             };
@@ -180,10 +180,10 @@
             let Some((_, key)) = self.by_issue_time.pop_first() else {
                 break;
             };
-            self.forget(&key);
-            forgotten += 1;
+            self.remove(&key);
+            removed += 1;
         }
-        forgotten
+        removed
     }
 
     fn is_running(&self, key: &JobKey) -> bool {
@@ -191,7 +191,7 @@
         entry.is_some_and(|entry| matches!(entry.state, KeyState::Running(_)))
     }
 
-    fn forget(&mut self, key: &JobKey) {
+    fn remove(&mut self, key: &JobKey) {
         let Some(entry) = self.entries.remove(key) else {
             return;
         };
--- a/crates/core/src/engine/lending.rs
+++ b/crates/core/src/engine/lending.rs
@@ -11,16 +11,16 @@
 use super::event::WorkerId;
 
 /// Most slots asked for at once.
-const ASK_MAX: u64 = 64;
+const REQUEST_SLOTS_MAX: u64 = 64;
 /// Longest wait for a peer's answer before the next is asked.
-const ANSWER_MS: u64 = 100;
+const ANSWER_TIMEOUT_MS: u64 = 100;
 /// First pause before a peer that had no slot is asked again.
-const PAUSE_MIN_MS: u64 = 40;
+const BACKOFF_MIN_MS: u64 = 40;
 /// Doublings of that pause at most.
-const PAUSE_DOUBLINGS_MAX: u32 = 4;
+const BACKOFF_DOUBLINGS_MAX: u32 = 4;
 /// A lender waits so many times the loan's length for slots that are not
 /// returned: the last task may run on, or the return be lost.
-const HOLD_FACTOR: u64 = 5;
+const RECLAIM_FACTOR: u64 = 5;
 
 /// Slots of one worker.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -59,14 +59,14 @@
     pub slots: u32,
     pub until_ms: u64,
     /// The time is over and the slots are not returned yet.
-    pub closed: bool,
+    pub expired: bool,
 }
 
 /// A peer that may lend.
 #[derive(Debug)]
 struct Peer {
     name: Arc<str>,
-    ask_after_ms: u64,
+    next_request_ms: u64,
     refusals: u32,
 }
 
@@ -74,9 +74,9 @@
 #[derive(Debug, Default)]
 pub(crate) struct Lending {
     peers: Vec<Peer>,
-    next: usize,
+    next_peer: usize,
     /// No other peer is asked before an answer or this time.
-    asked_until_ms: u64,
+    pending_until_ms: u64,
     pub lent: Vec<Loan>,
     pub borrowed: Vec<Loan>,
 }
@@ -88,42 +88,42 @@
         let (before, after) = members.split_at(position.unwrap_or(0));
         let others = after.iter().chain(before).filter(|member| *member != me);
         self.peers = others.map(|name| Peer::new(name)).collect();
-        self.next = 0;
+        self.next_peer = 0;
     }
 
     /// The peer to ask for how many slots, if one may be asked now.
-    pub fn ask(&mut self, now_ms: u64, tasks_queued: u64) -> Option<(Arc<str>, u32)> {
-        if now_ms < self.asked_until_ms {
+    pub fn next_request(&mut self, now_ms: u64, tasks_queued: u64) -> Option<(Arc<str>, u32)> {
+        if now_ms < self.pending_until_ms {
             return None;
         }
         let count = self.peers.len();
-        let mut in_turn = (0..count).map(|step| (self.next + step) % count);
-        let chosen = in_turn.find(|peer| self.peers[*peer].ask_after_ms <= now_ms)?;
-        self.next = chosen + 1;
-        self.asked_until_ms = now_ms + ANSWER_MS;
-        let slots = tasks_queued.min(ASK_MAX) as u32;
+        let mut in_turn = (0..count).map(|step| (self.next_peer + step) % count);
+        let chosen = in_turn.find(|peer| self.peers[*peer].next_request_ms <= now_ms)?;
+        self.next_peer = chosen + 1;
+        self.pending_until_ms = now_ms + ANSWER_TIMEOUT_MS;
+        let slots = tasks_queued.min(REQUEST_SLOTS_MAX) as u32;
         Some((Arc::clone(&self.peers[chosen].name), slots))
     }
 
     /// A peer answered; one that lent nothing is left alone for a while.
-    pub fn answered(&mut self, now_ms: u64, lender: &str, lent: bool) {
-        self.asked_until_ms = 0;
+    pub fn record_answer(&mut self, now_ms: u64, lender: &str, lent: bool) {
+        self.pending_until_ms = 0;
         let Some(peer) = self.peer(lender) else {
             return;
         };
         match lent {
             true => {
                 peer.refusals = 0;
-                peer.ask_after_ms = now_ms + PAUSE_MIN_MS;
+                peer.next_request_ms = now_ms + BACKOFF_MIN_MS;
             }
-            false => peer.pause(now_ms),
+            false => peer.back_off(now_ms),
         }
     }
 
     /// A peer asked: it has no free slot itself.
-    pub fn asked_by(&mut self, now_ms: u64, borrower: &str) {
+    pub fn record_request_from(&mut self, now_ms: u64, borrower: &str) {
         if let Some(peer) = self.peer(borrower) {
-            peer.ask_after_ms = peer.ask_after_ms.max(now_ms + PAUSE_MIN_MS);
+            peer.next_request_ms = peer.next_request_ms.max(now_ms + BACKOFF_MIN_MS);
         }
     }
 
@@ -137,13 +137,13 @@
             peer: borrower.into(),
             worker,
             slots: 1,
-            until_ms: now_ms + HOLD_FACTOR * loan_ms,
-            closed: false,
+            until_ms: now_ms + RECLAIM_FACTOR * loan_ms,
+            expired: false,
         });
     }
 
     /// Takes up to `slots` of a worker back from a borrower; tells how many.
-    pub fn take_back(&mut self, borrower: &str, worker: WorkerId, slots: u32) -> u32 {
+    pub fn reclaim(&mut self, borrower: &str, worker: WorkerId, slots: u32) -> u32 {
         let mut left = slots;
         for loan in &mut self.lent {
             if *loan.peer == *borrower && loan.worker == worker {
@@ -157,7 +157,7 @@
     }
 
     /// The loans whose borrower has returned nothing for too long.
-    pub fn overdue(&mut self, now_ms: u64) -> Vec<Loan> {
+    pub fn take_overdue(&mut self, now_ms: u64) -> Vec<Loan> {
         let is_overdue = |loan: &mut Loan| loan.until_ms <= now_ms;
         self.lent.extract_if(.., is_overdue).collect()
     }
@@ -167,14 +167,14 @@
     fn new(name: &str) -> Self {
         Self {
             name: name.into(),
-            ask_after_ms: 0,
+            next_request_ms: 0,
             refusals: 0,
         }
     }
 
-    fn pause(&mut self, now_ms: u64) {
-        let doublings = self.refusals.min(PAUSE_DOUBLINGS_MAX);
-        self.ask_after_ms = now_ms + (PAUSE_MIN_MS << doublings);
+    fn back_off(&mut self, now_ms: u64) {
+        let doublings = self.refusals.min(BACKOFF_DOUBLINGS_MAX);
+        self.next_request_ms = now_ms + (BACKOFF_MIN_MS << doublings);
         self.refusals += 1;
     }
 }
--- a/crates/core/src/engine/loans.rs
+++ b/crates/core/src/engine/loans.rs
@@ -14,8 +14,8 @@
         let registry = self.registry();
         let mut messages = Vec::new();
         for (service, pool) in registry.services() {
-            let news = pool.lock().balance(now, out);
-            messages.extend(news.into_iter().map(|(to, body)| SlotMessage {
+            let pool_messages = pool.lock().balance(now, out);
+            messages.extend(pool_messages.into_iter().map(|(to, body)| SlotMessage {
                 to,
                 service: Arc::clone(service),
                 body,
@@ -79,6 +79,6 @@
             Some((id, slots.slots))
         });
         let known: Vec<_> = known.collect();
-        pool.lock().take_back(now, borrower, &known, out);
+        pool.lock().reclaim(now, borrower, &known, out);
     }
 }
--- a/crates/core/src/engine/pool.rs
+++ b/crates/core/src/engine/pool.rs
@@ -16,7 +16,7 @@
 use super::event::{TaskId, WorkerId};
 use super::failure::FailureReason;
 use super::health::{ServiceHealth, WorkerHealth};
-use super::job::{EndedJob, JobId, JobWork};
+use super::job::{ActiveJob, EndedJob, JobId};
 use super::lending::Lending;
 use super::queue::JobQueue;
 use super::retry_budget::RetryBudget;
@@ -24,7 +24,7 @@
 use super::settings::EngineSettings;
 use super::stats::EngineStats;
 use super::teams::{TeamIndex, Teams};
-use super::worker_set::{WorkerDeal, WorkerSet};
+use super::worker_set::{WorkerAssignment, WorkerSet};
 use crate::time::Now;
 
 /// Bits of a task id that count placements; the rest name the pool.
@@ -39,13 +39,13 @@
 
 /// What the service's declaration says about its tasks.
 #[derive(Clone, Debug, PartialEq)]
-pub(crate) struct ServiceTerms {
+pub(crate) struct ServiceParams {
     pub path: Arc<str>,
     pub task_timeout_ms: u64,
     pub declared_run_ms: u64,
 }
 
-impl From<&ServiceSpec> for ServiceTerms {
+impl From<&ServiceSpec> for ServiceParams {
     fn from(spec: &ServiceSpec) -> Self {
         Self {
             path: spec.path.as_str().into(),
@@ -70,10 +70,10 @@
 pub(crate) struct PoolState {
     number: u64,
     settings: Arc<EngineSettings>,
-    terms: ServiceTerms,
+    params: ServiceParams,
     workers: WorkerSet,
     lending: Lending,
-    jobs: SlotMap<JobId, JobWork>,
+    jobs: SlotMap<JobId, ActiveJob>,
     queue: JobQueue,
     teams: Teams,
     placements: HashMap<TaskId, Placement>,
@@ -82,13 +82,13 @@
     /// When a result last came.
     last_done_ms: u64,
     retries: RetryBudget,
-    next_placement: u64,
+    last_placement: u64,
     stats: EngineStats,
 }
 
 impl Pool {
     /// An empty pool.
-    pub fn new(number: u64, settings: Arc<EngineSettings>, terms: ServiceTerms) -> Self {
+    pub fn new(number: u64, settings: Arc<EngineSettings>, params: ServiceParams) -> Self {
         let workers = WorkerSet::new(settings.placement.policy, settings.workers.clone());
         let state = PoolState {
             number,
@@ -99,13 +99,13 @@
             teams: Teams::default(),
             placements: HashMap::new(),
             deadlines: BinaryHeap::new(),
-            run_times: RunTimes::new(terms.declared_run_ms),
+            run_times: RunTimes::new(params.declared_run_ms),
             last_done_ms: 0,
             retries: RetryBudget::new(settings.placement.retry_percent),
-            next_placement: 0,
+            last_placement: 0,
             stats: EngineStats::default(),
             settings,
-            terms,
+            params,
         };
         Self {
             state: Mutex::new(state),
@@ -118,7 +118,7 @@
     }
 
     /// The number of the pool that made a task id.
-    pub fn number_of(task: TaskId) -> usize {
+    pub fn pool_number(task: TaskId) -> usize {
         (task.0 >> TASK_COUNTER_BITS) as usize
     }
 }
@@ -128,34 +128,35 @@
     pub fn configure(
         &mut self,
         now: Now,
-        terms: ServiceTerms,
-        deal: WorkerDeal,
+        params: ServiceParams,
+        assignment: WorkerAssignment,
         out: &mut Vec<Command>,
     ) {
-        if terms.declared_run_ms != self.terms.declared_run_ms {
-            self.run_times.declare(terms.declared_run_ms);
+        if params.declared_run_ms != self.params.declared_run_ms {
+            self.run_times.declare(params.declared_run_ms);
         }
-        self.terms = terms;
+        self.params = params;
         let run_log2 = self.run_times.mean_log2();
-        self.workers.replace(now.mono_ms, run_log2, deal);
+        self.workers.replace(now.mono_ms, run_log2, assignment);
         self.dispatch(now, out);
     }
 
     /// The service is no longer declared: nothing starts any more.
-    pub fn withdraw(&mut self, now: Now, out: &mut Vec<Command>) {
-        let terms = self.terms.clone();
-        self.configure(now, terms, WorkerDeal::default(), out);
+    pub fn undeclare(&mut self, now: Now, out: &mut Vec<Command>) {
+        let params = self.params.clone();
+        self.configure(now, params, WorkerAssignment::default(), out);
     }
 
     /// Tasks done of a job, or `None` if it just ended.
     pub fn tasks_done(&self, job: JobId) -> Option<u32> {
-        self.jobs.get(job).map(|work| work.done)
+        self.jobs.get(job).map(|active| active.done)
     }
 
     /// Ends a job at its caller's wish, or `None` if it just ended.
     pub fn cancel(&mut self, now: Now, job: JobId, out: &mut Vec<Command>) -> Option<EndedJob> {
-        let why = "the caller cancelled the job".to_owned();
-        let ended = self.cut_short(job, JobState::Cancelled, FailureReason::Cancelled, why)?;
+        let detail = "the caller cancelled the job".to_owned();
+        let ended =
+            self.end_incomplete(job, JobState::Cancelled, FailureReason::Cancelled, detail)?;
         self.stats.jobs_cancelled += 1;
         self.dispatch(now, out);
         Some(ended)
@@ -198,7 +199,7 @@
     /// All workers as seen here.
     pub fn service_health(&self) -> ServiceHealth {
         ServiceHealth {
-            workers: self.workers.open() as u32,
+            workers: self.workers.eligible_workers() as u32,
             workers_ejected: self.workers.ejected() as u32,
             slots_owned: self.workers.slots(),
         }
--- a/crates/core/src/engine/pool/admit.rs
+++ b/crates/core/src/engine/pool/admit.rs
@@ -6,10 +6,10 @@
 use trefoil_schema::resources::TeamSpec;
 
 use super::PoolState;
-use crate::engine::admission::{Capacity, Demand, excess_ms};
+use crate::engine::admission::{Capacity, JobDemand, excess_ms};
 use crate::engine::command::{Command, Refusal};
 use crate::engine::event::Submission;
-use crate::engine::job::{JobId, JobWork};
+use crate::engine::job::{ActiveJob, JobId};
 use crate::engine::refusal;
 use crate::engine::settings::QueueOrder;
 use crate::engine::teams::TeamIndex;
@@ -21,15 +21,15 @@
 /// Time without a result after which an idle pool's estimates are not trusted.
 const STALE_MS: u64 = 1000;
 /// How wrong an untrusted estimate may be.
-const STALE_DOUBT: f64 = 10.0;
+const STALE_ERROR_FACTOR: f64 = 10.0;
 /// Share of jobs for which the longest task may exceed its estimate.
 const LATE_SHARE: f64 = 0.05;
 /// The median: a job as likely to exceed it as not.
-const EVEN_CHANCE: f64 = 0.5;
+const MEDIAN_SHARE: f64 = 0.5;
 
 /// A job's place in the queue, before it is admitted.
 #[derive(Clone, Copy, Debug)]
-struct Plan {
+struct JobPlan {
     tasks: u32,
     size_ms: f64,
     rank_ms: u64,
@@ -49,11 +49,12 @@
         if self.workers.slots() == 0 {
             return Err(refusal::no_workers());
         }
-        self.workers.wake(now.mono_ms, self.run_times.mean_log2());
+        self.workers
+            .expire_timers(now.mono_ms, self.run_times.mean_log2());
         let team = self.teams.declare(&submission.team, team);
         let plan = self.plan(now, &submission, team);
         self.check_quota(&key, team, plan.tasks)?;
-        self.check_time(now, &key, team, plan, submission.timeout_ms)?;
+        self.check_deadline(now, &key, team, plan, submission.timeout_ms)?;
         let job = self.enqueue(now, key, submission, team, plan);
         self.dispatch(now, out);
         Ok(job)
@@ -68,7 +69,7 @@
         }
     }
 
-    fn plan(&mut self, now: Now, submission: &Submission, team: TeamIndex) -> Plan {
+    fn plan(&mut self, now: Now, submission: &Submission, team: TeamIndex) -> JobPlan {
         let capacity = self.capacity();
         let tasks = submission.tasks.len() as u32;
         let size_ms = f64::from(tasks) * capacity.mean_ms / capacity.slots.max(1.0);
@@ -83,7 +84,7 @@
                 by_size_ms.min(latest_start_ms) + lead_ms as u64
             }
         };
-        Plan {
+        JobPlan {
             tasks,
             size_ms,
             rank_ms,
@@ -105,20 +106,20 @@
             return Err(refusal::queue_full(wait_ms, key));
         }
         let team = self.teams.get(team);
-        if !team.has_room_for(waiting) {
-            let slots = team.slots_of(capacity.slots).max(1.0);
+        if !team.can_queue(waiting) {
+            let slots = team.usable_slots(capacity.slots).max(1.0);
             let wait_ms = f64::from(tasks) * capacity.mean_ms / slots;
             return Err(refusal::quota(wait_ms, key));
         }
         Ok(())
     }
 
-    fn check_time(
+    fn check_deadline(
         &mut self,
         now: Now,
         key: &JobKey,
         team: TeamIndex,
-        plan: Plan,
+        plan: JobPlan,
         timeout_ms: u64,
     ) -> Result<(), Refusal> {
         let idle = self.jobs.is_empty();
@@ -128,8 +129,8 @@
         }
         let capacity = self.capacity();
         let ideal_ms = self.ideal_ms(capacity, team, plan.tasks);
-        let doubt = if stale { STALE_DOUBT } else { 1.0 };
-        if ideal_ms > doubt * timeout_ms as f64 {
+        let error_factor = if stale { STALE_ERROR_FACTOR } else { 1.0 };
+        if ideal_ms > error_factor * timeout_ms as f64 {
             return Err(refusal::impossible(ideal_ms));
         }
         if idle && stale {
@@ -146,13 +147,13 @@
 
     /// What the job would take with every slot free.
     fn ideal_ms(&mut self, capacity: Capacity, team: TeamIndex, tasks: u32) -> f64 {
-        let slots = self.teams.get(team).slots_of(capacity.slots);
+        let slots = self.teams.get(team).usable_slots(capacity.slots);
         let free = Capacity {
             slots,
             free_slots: slots,
             ..capacity
         };
-        free.wait_ms(f64::from(tasks)) + self.run_times.longest_of_ms(tasks, EVEN_CHANCE)
+        free.wait_ms(f64::from(tasks)) + self.run_times.longest_of_ms(tasks, MEDIAN_SHARE)
     }
 
     /// How late this job or one behind it would be.
@@ -161,17 +162,17 @@
         now: Now,
         capacity: Capacity,
         team: TeamIndex,
-        plan: Plan,
+        plan: JobPlan,
     ) -> Option<f64> {
         let slack_ms = plan.latest_start_ms.saturating_sub(now.mono_ms) as f64;
-        let demand = Demand {
+        let demand = JobDemand {
             rank_ms: plan.rank_ms,
             tasks: plan.tasks,
             slack_ms,
-            ahead: self.teams.lead_ms(team, now.mono_ms) > 0.0,
+            above_fair_share: self.teams.lead_ms(team, now.mono_ms) > 0.0,
         };
         let team = self.teams.get(team);
-        let slots = team.slots_of(capacity.slots);
+        let slots = team.usable_slots(capacity.slots);
         let of_team = Capacity {
             slots,
             free_slots: capacity.free_slots.min(slots - f64::from(team.running)),
@@ -193,21 +194,21 @@
         key: Arc<JobKey>,
         submission: Submission,
         team: TeamIndex,
-        plan: Plan,
+        plan: JobPlan,
     ) -> JobId {
         let payloads = submission.tasks.into_iter().map(|task| task.payload);
-        let job = self.jobs.insert(JobWork {
+        let job = self.jobs.insert(ActiveJob {
             key,
             team,
             rank_ms: plan.rank_ms,
             latest_start_ms: plan.latest_start_ms,
             parked: false,
             tasks: payloads.collect(),
-            returned: Vec::new(),
-            unplaced: 0,
+            refused_tasks: Vec::new(),
+            next_unplaced: 0,
             running: 0,
             done: 0,
-            touched: false,
+            may_have_run: false,
         });
         let deadline_ms = now.mono_ms.saturating_add(submission.timeout_ms);
         self.deadlines.push(Reverse((deadline_ms, job)));
--- a/crates/core/src/engine/pool/lend.rs
+++ b/crates/core/src/engine/pool/lend.rs
@@ -12,7 +12,7 @@
 use crate::time::Now;
 
 /// What to tell which peer.
-pub(crate) type SlotNews = (Arc<str>, SlotMessageBody);
+pub(crate) type PeerMessage = (Arc<str>, SlotMessageBody);
 
 impl PoolState {
     /// Takes the failure domain's instances.
@@ -20,47 +20,54 @@
         self.lending.set_members(me, members);
     }
 
-    fn lends(&self) -> bool {
+    fn is_lending_enabled(&self) -> bool {
         let placement = &self.settings.placement;
         placement.lending && placement.policy == PlacementPolicy::OwnedSlots
     }
 
     /// Returns what is idle, takes back what is overdue, asks for what lacks.
-    pub fn balance(&mut self, now: Now, out: &mut Vec<Command>) -> Vec<SlotNews> {
+    pub fn balance(&mut self, now: Now, out: &mut Vec<Command>) -> Vec<PeerMessage> {
         let run_log2 = self.run_times.mean_log2();
-        for loan in self.lending.overdue(now.mono_ms) {
+        for loan in self.lending.take_overdue(now.mono_ms) {
             self.workers
-                .take_back(now.mono_ms, run_log2, loan.worker, loan.slots);
+                .reclaim(now.mono_ms, run_log2, loan.worker, loan.slots);
         }
         self.dispatch(now, out);
-        let mut news = self.return_idle(now);
-        if self.lends() && self.queue.first().is_some() && !self.workers.has_ready() {
-            let ask = self.lending.ask(now.mono_ms, self.stats.tasks_queued);
-            news.extend(ask.map(|(peer, slots)| (peer, SlotMessageBody::Request(slots))));
+        let mut messages = self.return_idle_slots(now);
+        if self.is_lending_enabled() && self.queue.first().is_some() && !self.workers.has_ready() {
+            let request = self
+                .lending
+                .next_request(now.mono_ms, self.stats.tasks_queued);
+            messages.extend(request.map(|(peer, slots)| (peer, SlotMessageBody::Request(slots))));
         }
-        news
+        messages
     }
 
     /// Closes the loans whose time is over, and returns slots without a task.
-    fn return_idle(&mut self, now: Now) -> Vec<SlotNews> {
+    fn return_idle_slots(&mut self, now: Now) -> Vec<PeerMessage> {
         let run_log2 = self.run_times.mean_log2();
-        let is_wanted = self.queue.first().is_some();
+        let has_queued = self.queue.first().is_some();
         let mut returned: BTreeMap<Arc<str>, Vec<WorkerSlots>> = BTreeMap::new();
         for loan in &mut self.lending.borrowed {
-            if !loan.closed && loan.until_ms <= now.mono_ms {
-                loan.closed = true;
+            if !loan.expired && loan.until_ms <= now.mono_ms {
+                loan.expired = true;
                 self.workers
-                    .close(now.mono_ms, run_log2, loan.worker, loan.slots);
+                    .expire_loan(now.mono_ms, run_log2, loan.worker, loan.slots);
             }
-            if is_wanted && !loan.closed {
+            if has_queued && !loan.expired {
                 continue;
             }
             let idle = loan.slots.min(self.workers.idle_borrowed(loan.worker));
             let worker = self.workers.name(loan.worker);
             if let Some(worker) = worker.filter(|_| idle > 0) {
                 loan.slots -= idle;
-                self.workers
-                    .give_back(now.mono_ms, run_log2, loan.worker, idle, loan.closed);
+                self.workers.return_borrowed(
+                    now.mono_ms,
+                    run_log2,
+                    loan.worker,
+                    idle,
+                    loan.expired,
+                );
                 let peer = Arc::clone(&loan.peer);
                 returned.entry(peer).or_default().push(WorkerSlots {
                     worker,
@@ -77,12 +84,12 @@
 
     /// Lends up to `slots` free slots, half of the free ones at most.
     pub fn lend(&mut self, now: Now, borrower: &str, slots: u32) -> Vec<WorkerSlots> {
-        self.lending.asked_by(now.mono_ms, borrower);
-        if !self.lends() || self.queue.first().is_some() {
+        self.lending.record_request_from(now.mono_ms, borrower);
+        if !self.is_lending_enabled() || self.queue.first().is_some() {
             return Vec::new();
         }
         let run_log2 = self.run_times.mean_log2();
-        self.workers.wake(now.mono_ms, run_log2);
+        self.workers.expire_timers(now.mono_ms, run_log2);
         let lent = self.workers.lend(now.mono_ms, run_log2, slots);
         let loan_ms = self.settings.placement.loan_ms;
         for worker in &lent {
@@ -109,7 +116,8 @@
         out: &mut Vec<Command>,
     ) {
         self.stats.slots_refused += u64::from(lent.is_empty());
-        self.lending.answered(now.mono_ms, lender, !lent.is_empty());
+        self.lending
+            .record_answer(now.mono_ms, lender, !lent.is_empty());
         let run_log2 = self.run_times.mean_log2();
         for (worker, declared, slots) in lent {
             self.workers
@@ -120,14 +128,14 @@
                 worker,
                 slots,
                 until_ms: now.mono_ms + loan_ms,
-                closed: false,
+                expired: false,
             });
         }
         self.dispatch(now, out);
     }
 
     /// Takes returned slots and starts queued tasks on them.
-    pub fn take_back(
+    pub fn reclaim(
         &mut self,
         now: Now,
         borrower: &str,
@@ -136,9 +144,8 @@
     ) {
         let run_log2 = self.run_times.mean_log2();
         for (worker, slots) in returned {
-            let taken = self.lending.take_back(borrower, *worker, *slots);
-            self.workers
-                .take_back(now.mono_ms, run_log2, *worker, taken);
+            let taken = self.lending.reclaim(borrower, *worker, *slots);
+            self.workers.reclaim(now.mono_ms, run_log2, *worker, taken);
         }
         self.dispatch(now, out);
     }
--- a/crates/core/src/engine/pool/place.rs
+++ b/crates/core/src/engine/pool/place.rs
@@ -5,19 +5,20 @@
 use super::{Placement, PoolState, TASK_COUNTER_BITS};
 use crate::engine::command::Command;
 use crate::engine::event::{TaskId, WorkerId};
-use crate::engine::job::{JobId, JobWork, NextTask};
+use crate::engine::job::{ActiveJob, JobId, NextTask};
 use crate::engine::teams::TeamIndex;
 use crate::time::Now;
 
 impl PoolState {
     /// Starts queued tasks for as long as a worker has a free slot.
     pub(super) fn dispatch(&mut self, now: Now, out: &mut Vec<Command>) {
-        self.workers.wake(now.mono_ms, self.run_times.mean_log2());
+        self.workers
+            .expire_timers(now.mono_ms, self.run_times.mean_log2());
         while let Some(job) = self.queue.first() {
             if self.park_if_at_slots_max(job) {
                 continue;
             }
-            let Some(next) = self.jobs.get(job).and_then(JobWork::peek) else {
+            let Some(next) = self.jobs.get(job).and_then(ActiveJob::peek) else {
                 return;
             };
             let Some(worker) = self.workers.choose(next.avoid) else {
@@ -29,16 +30,16 @@
 
     /// Sets a job aside whose team has all the slots it may have.
     fn park_if_at_slots_max(&mut self, job: JobId) -> bool {
-        let Some(work) = self.jobs.get_mut(job) else {
+        let Some(active) = self.jobs.get_mut(job) else {
             return false;
         };
-        let team = self.teams.get(work.team);
+        let team = self.teams.get(active.team);
         if !team.is_at_slots_max() {
             return false;
         }
-        work.parked = true;
-        team.parked.insert((work.rank_ms, job));
-        self.queue.remove(work.rank_ms, job, work.queued());
+        active.parked = true;
+        team.parked.insert((active.rank_ms, job));
+        self.queue.remove(active.rank_ms, job, active.queued());
         true
     }
 
@@ -51,12 +52,12 @@
         let Some((rank_ms, job)) = team.parked.pop_first() else {
             return;
         };
-        let Some(work) = self.jobs.get_mut(job) else {
+        let Some(active) = self.jobs.get_mut(job) else {
             return;
         };
-        work.parked = false;
+        active.parked = false;
         self.queue
-            .add(rank_ms, job, work.queued(), work.latest_start_ms);
+            .add(rank_ms, job, active.queued(), active.latest_start_ms);
     }
 
     fn start(
@@ -71,12 +72,12 @@
             return;
         };
         let task = self.next_task_id();
-        let work = &mut self.jobs[job];
-        work.take_next();
-        self.queue.take(work.rank_ms, job, work.queued() == 0);
+        let active = &mut self.jobs[job];
+        active.take_next();
+        self.queue.take(active.rank_ms, job, active.queued() == 0);
         let placement = Placement {
             job,
-            team: work.team,
+            team: active.team,
             index: next.index,
             attempt: next.attempt,
             worker,
@@ -84,22 +85,22 @@
         };
         out.push(Command::StartTask {
             task,
-            key: Arc::clone(&work.key),
+            key: Arc::clone(&active.key),
             index: next.index,
             attempt: next.attempt,
             worker,
             address,
-            path: Arc::clone(&self.terms.path),
-            payload: work.tasks[next.index as usize].clone(),
-            timeout_ms: self.terms.task_timeout_ms,
+            path: Arc::clone(&self.params.path),
+            payload: active.tasks[next.index as usize].clone(),
+            timeout_ms: self.params.task_timeout_ms,
         });
         self.placements.insert(task, placement);
         self.count_start(now, placement);
     }
 
     fn next_task_id(&mut self) -> TaskId {
-        self.next_placement += 1;
-        TaskId(self.number << TASK_COUNTER_BITS | self.next_placement)
+        self.last_placement += 1;
+        TaskId(self.number << TASK_COUNTER_BITS | self.last_placement)
     }
 
     fn count_start(&mut self, now: Now, placement: Placement) {
--- a/crates/core/src/engine/queue.rs
+++ b/crates/core/src/engine/queue.rs
@@ -5,18 +5,18 @@
 use super::job::JobId;
 
 /// Width of a level in milliseconds of rank.
-const LEVEL_MS: u64 = 32;
+const BUCKET_MS: u64 = 32;
 
 /// Jobs with queued tasks; a job leaves with all its tasks in one step.
 #[derive(Debug, Default)]
 pub(crate) struct JobQueue {
     jobs: BTreeSet<(u64, JobId)>,
-    levels: BTreeMap<u64, Level>,
+    buckets: BTreeMap<u64, RankBucket>,
 }
 
 /// What is queued within a span of ranks, for estimates.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Level {
+pub(crate) struct RankBucket {
     /// Tasks queued.
     pub tasks: u64,
     /// Earliest time by which a job here must have started its last task.
@@ -27,17 +27,20 @@
     /// Adds `tasks` tasks of a job, which may be queued already.
     pub fn add(&mut self, rank_ms: u64, job: JobId, tasks: u32, latest_start_ms: u64) {
         self.jobs.insert((rank_ms, job));
-        let level = self.levels.entry(rank_ms / LEVEL_MS).or_insert(Level {
-            tasks: 0,
-            latest_start_ms: u64::MAX,
-        });
-        level.tasks += u64::from(tasks);
-        level.latest_start_ms = level.latest_start_ms.min(latest_start_ms);
+        let bucket = self
+            .buckets
+            .entry(rank_ms / BUCKET_MS)
+            .or_insert(RankBucket {
+                tasks: 0,
+                latest_start_ms: u64::MAX,
+            });
+        bucket.tasks += u64::from(tasks);
+        bucket.latest_start_ms = bucket.latest_start_ms.min(latest_start_ms);
     }
 
     /// Takes one task of a job; the `last` takes the job out.
     pub fn take(&mut self, rank_ms: u64, job: JobId, last: bool) {
-        self.reduce_level(rank_ms, 1);
+        self.reduce_bucket(rank_ms, 1);
         if last {
             self.jobs.remove(&(rank_ms, job));
         }
@@ -46,18 +49,18 @@
     /// Removes a job and with it its `tasks` queued tasks.
     pub fn remove(&mut self, rank_ms: u64, job: JobId, tasks: u32) {
         if self.jobs.remove(&(rank_ms, job)) {
-            self.reduce_level(rank_ms, tasks);
+            self.reduce_bucket(rank_ms, tasks);
         }
     }
 
-    fn reduce_level(&mut self, rank_ms: u64, tasks: u32) {
-        let number = rank_ms / LEVEL_MS;
-        let Some(level) = self.levels.get_mut(&number) else {
+    fn reduce_bucket(&mut self, rank_ms: u64, tasks: u32) {
+        let number = rank_ms / BUCKET_MS;
+        let Some(bucket) = self.buckets.get_mut(&number) else {
             return;
         };
-        level.tasks = level.tasks.saturating_sub(u64::from(tasks));
-        if level.tasks == 0 {
-            self.levels.remove(&number);
+        bucket.tasks = bucket.tasks.saturating_sub(u64::from(tasks));
+        if bucket.tasks == 0 {
+            self.buckets.remove(&number);
         }
     }
 
@@ -68,13 +71,13 @@
 
     /// Tasks queued in levels that go before one of rank `rank_ms`, or with it.
     pub fn tasks_up_to(&self, rank_ms: u64) -> u64 {
-        let levels = self.levels.range(..=rank_ms / LEVEL_MS);
-        levels.map(|(_, level)| level.tasks).sum()
+        let buckets = self.buckets.range(..=rank_ms / BUCKET_MS);
+        buckets.map(|(_, bucket)| bucket.tasks).sum()
     }
 
     /// The levels that a job of rank `rank_ms` would hold up.
-    pub fn levels_after(&self, rank_ms: u64) -> impl Iterator<Item = &Level> {
-        let levels = self.levels.range(rank_ms / LEVEL_MS + 1..);
-        levels.map(|(_, level)| level)
+    pub fn buckets_after(&self, rank_ms: u64) -> impl Iterator<Item = &RankBucket> {
+        let buckets = self.buckets.range(rank_ms / BUCKET_MS + 1..);
+        buckets.map(|(_, bucket)| bucket)
     }
 }
--- a/crates/core/src/engine/registry.rs
+++ b/crates/core/src/engine/registry.rs
@@ -8,11 +8,11 @@
 
 use super::command::Command;
 use super::event::{Worker, WorkerId};
-use super::pool::{Pool, ServiceTerms};
+use super::pool::{Pool, ServiceParams};
 use super::settings::EngineSettings;
 use super::shares::divide_slots;
-use super::teams::part_of_bound;
-use super::worker_set::WorkerDeal;
+use super::teams::share_of_limit;
+use super::worker_set::WorkerAssignment;
 use crate::config::ConfigSnapshot;
 use crate::time::Now;
 
@@ -41,7 +41,7 @@
     }
 
     /// The pool of a number.
-    pub fn pool_at(&self, number: usize) -> Option<&Arc<Pool>> {
+    pub fn pool_by_number(&self, number: usize) -> Option<&Arc<Pool>> {
         self.pools.get(number)
     }
 
@@ -63,8 +63,8 @@
         let members = self.members.len() as u32;
         let position = self.members.binary_search(&self.me).unwrap_or(0) as u32;
         Some(TeamSpec {
-            slots_max: part_of_bound(spec.slots_max, position, members),
-            queued_tasks_max: part_of_bound(spec.queued_tasks_max, position, members),
+            slots_max: share_of_limit(spec.slots_max, position, members),
+            queued_tasks_max: share_of_limit(spec.queued_tasks_max, position, members),
             ..spec.clone()
         })
     }
@@ -80,7 +80,7 @@
         let first = self.config.backend_servers.is_empty();
         self.joining = first && self.members.len() > 1;
         self.config = config.clone();
-        self.forget_workers();
+        self.remove_undeclared_workers();
         self.apply(settings, now, out);
         self.joining = false;
     }
@@ -103,7 +103,7 @@
         self.joining = false;
     }
 
-    fn forget_workers(&mut self) {
+    fn remove_undeclared_workers(&mut self) {
         let declared = &self.config.backend_servers;
         self.worker_ids
             .retain(|name, _| declared.contains_key(name));
@@ -115,22 +115,22 @@
             .config
             .services
             .iter()
-            .map(|(name, declared)| (Arc::clone(name), ServiceTerms::from(&declared.spec)))
+            .map(|(name, declared)| (Arc::clone(name), ServiceParams::from(&declared.spec)))
             .collect();
-        for (service, terms) in services {
-            let deal = WorkerDeal {
+        for (service, params) in services {
+            let assignment = WorkerAssignment {
                 workers: workers.remove(&service).unwrap_or_default(),
                 draw_seed: xxh3_64(self.me.as_bytes()) >> DRAW_SEED_SHIFT,
                 joining: self.joining,
             };
-            let pool = self.pool_or_new(settings, &service, &terms);
+            let pool = self.pool_or_new(settings, &service, &params);
             let mut pool = pool.lock();
             pool.set_members(&self.me, &self.members);
-            pool.configure(now, terms, deal, out);
+            pool.configure(now, params, assignment, out);
         }
         for (service, number) in &self.by_service {
             if !self.config.services.contains_key(service) {
-                self.pools[*number].lock().withdraw(now, out);
+                self.pools[*number].lock().undeclare(now, out);
             }
         }
     }
@@ -139,13 +139,13 @@
         &mut self,
         settings: &Arc<EngineSettings>,
         service: &Arc<str>,
-        terms: &ServiceTerms,
+        params: &ServiceParams,
     ) -> Arc<Pool> {
         if let Some(number) = self.by_service.get(service) {
             return Arc::clone(&self.pools[*number]);
         }
         let number = self.pools.len();
-        let pool = Pool::new(number as u64, Arc::clone(settings), terms.clone());
+        let pool = Pool::new(number as u64, Arc::clone(settings), params.clone());
         let pool = Arc::new(pool);
         self.pools.push(Arc::clone(&pool));
         self.by_service.insert(Arc::clone(service), number);
@@ -175,7 +175,7 @@
     }
 
     fn with_shares(&mut self, workers: Vec<Worker>) -> Vec<(WorkerId, Worker, u32)> {
-        let slots: Vec<u32> = workers.iter().map(Worker::open_slots).collect();
+        let slots: Vec<u32> = workers.iter().map(Worker::assignable_slots).collect();
         let shares = divide_slots(&slots, &self.me, &self.members);
         workers
             .into_iter()
--- a/crates/core/src/engine/remembered.rs
+++ b/crates/core/src/engine/remembered.rs
@@ -40,16 +40,16 @@
         if !self.leaving.load(Ordering::Acquire) {
             return None;
         }
-        let mut memory = RememberedJobs::default();
+        let mut remembered = RememberedJobs::default();
         for shard in &self.shards {
             let mut shard = lock(shard);
             shard.raise_horizon(self.horizon_ms(now));
-            memory.from_ms = memory.from_ms.max(shard.horizon_ms());
-            shard.copy_ended(&mut memory.jobs)?;
+            remembered.from_ms = remembered.from_ms.max(shard.horizon_ms());
+            shard.copy_ended(&mut remembered.jobs)?;
         }
         let newest_first = |job: &RememberedJob| std::cmp::Reverse(job.key.issued_ms());
-        memory.jobs.sort_by_key(newest_first);
-        Some(memory)
+        remembered.jobs.sort_by_key(newest_first);
+        Some(remembered)
     }
 
     /// Remembers a job that another instance ran; false where there is no room.
@@ -81,13 +81,13 @@
     }
 
     /// Answers for a key that this instance may never start: from memory, or
-    /// with `absent`. A submission gives its body's `fingerprint`.
+    /// with `not_found`. A submission gives its body's `fingerprint`.
     pub fn answer_without_admission(
         &self,
         now: Now,
         key: &JobKey,
         fingerprint: Option<u64>,
-        absent: Refusal,
+        not_found: Refusal,
         waiter: WaiterId,
         out: &mut Vec<Command>,
     ) {
@@ -97,7 +97,7 @@
         let Some(entry) = shard.get(key) else {
             let refusal = match expired {
                 true => refusal::key_expired(),
-                false => absent,
+                false => not_found,
             };
             return self.refuse(waiter, refusal, out);
         };
--- a/crates/core/src/engine/shares.rs
+++ b/crates/core/src/engine/shares.rs
@@ -17,19 +17,19 @@
     let Some(position) = members.iter().position(|member| *member == me) else {
         return vec![0; slots.len()];
     };
-    let mut dealt = 0_u64;
+    let mut assigned = 0_u64;
     slots
         .iter()
         .map(|worker_slots| {
-            let first = dealt;
-            dealt += u64::from(*worker_slots);
-            (dealt_to(position as u64, count, dealt) - dealt_to(position as u64, count, first))
-                as u32
+            let first = assigned;
+            assigned += u64::from(*worker_slots);
+            (assigned_to(position as u64, count, assigned)
+                - assigned_to(position as u64, count, first)) as u32
         })
         .collect()
 }
 
-/// How many of the first `dealt` cards the player at `position` has.
-fn dealt_to(position: u64, count: u64, dealt: u64) -> u64 {
-    (dealt + count - 1 - position) / count
+/// How many of the first `assigned` cards the player at `position` has.
+fn assigned_to(position: u64, count: u64, assigned: u64) -> u64 {
+    (assigned + count - 1 - position) / count
 }
--- a/crates/core/src/engine/teams.rs
+++ b/crates/core/src/engine/teams.rs
@@ -26,7 +26,7 @@
     pub queued: u32,
     jobs: u32,
     /// Time up to which the team has used its fair share.
-    used_until_ms: f64,
+    virtual_finish_ms: f64,
     /// Jobs that wait until the team is below its bound of slots.
     pub parked: BTreeSet<(u64, JobId)>,
 }
@@ -38,7 +38,7 @@
     }
 
     /// Slots that the team may use, of `slots`.
-    pub fn slots_of(&self, slots: f64) -> f64 {
+    pub fn usable_slots(&self, slots: f64) -> f64 {
         match self.slots_max {
             0 => slots,
             slots_max => slots.min(f64::from(slots_max)),
@@ -46,7 +46,7 @@
     }
 
     /// Whether `tasks` more may be queued.
-    pub fn has_room_for(&self, tasks: u32) -> bool {
+    pub fn can_queue(&self, tasks: u32) -> bool {
         self.queued_tasks_max == 0 || self.queued.saturating_add(tasks) <= self.queued_tasks_max
     }
 }
@@ -88,7 +88,7 @@
             running: 0,
             queued: 0,
             jobs: 0,
-            used_until_ms: 0.0,
+            virtual_finish_ms: 0.0,
             parked: BTreeSet::new(),
         });
         index
@@ -101,8 +101,8 @@
 
     /// How far a team is ahead of its fair share, in milliseconds.
     pub fn lead_ms(&self, index: TeamIndex, now_ms: u64) -> f64 {
-        let used_until_ms = self.teams[index.0].used_until_ms;
-        (used_until_ms - now_ms as f64 - BURST_MS).max(0.0)
+        let virtual_finish_ms = self.teams[index.0].virtual_finish_ms;
+        (virtual_finish_ms - now_ms as f64 - BURST_MS).max(0.0)
     }
 
     /// Charges a team for a job that takes all slots for `size_ms`.
@@ -112,16 +112,16 @@
             self.active_weight += team.weight;
         }
         team.jobs += 1;
-        let from_ms = team.used_until_ms.max(now_ms as f64);
-        team.used_until_ms = from_ms + size_ms * self.active_weight / team.weight;
+        let from_ms = team.virtual_finish_ms.max(now_ms as f64);
+        team.virtual_finish_ms = from_ms + size_ms * self.active_weight / team.weight;
     }
 
     /// Multiplies what every team is ahead by `ratio`.
     pub fn rescale(&mut self, now_ms: u64, ratio: f64) {
         let now_ms = now_ms as f64;
         for team in &mut self.teams {
-            let ahead_ms = (team.used_until_ms - now_ms).max(0.0);
-            team.used_until_ms = now_ms + ahead_ms * ratio;
+            let ahead_ms = (team.virtual_finish_ms - now_ms).max(0.0);
+            team.virtual_finish_ms = now_ms + ahead_ms * ratio;
         }
     }
 
@@ -138,10 +138,10 @@
 /// An instance's part of a bound that holds for the failure domain: at least
 /// one, so that a small bound does not shut a team out of an instance; 0 means
 /// no bound.
-pub(crate) fn part_of_bound(bound: u32, position: u32, members: u32) -> u32 {
-    if bound == 0 || members == 0 {
-        return bound;
+pub(crate) fn share_of_limit(limit: u32, position: u32, members: u32) -> u32 {
+    if limit == 0 || members == 0 {
+        return limit;
     }
-    let part = bound / members + u32::from(position < bound % members);
+    let part = limit / members + u32::from(position < limit % members);
     part.max(1)
 }
--- a/crates/core/src/engine/worker_set.rs
+++ b/crates/core/src/engine/worker_set.rs
@@ -8,7 +8,7 @@
 
 use trefoil_schema::settings::{PlacementPolicy, WorkerSettings};
 
-use super::ejection::{Health, Peers, Showing};
+use super::ejection::{Health, Observation, PeerStats};
 use super::event::{Worker, WorkerId};
 use super::health::WorkerHealth;
 use super::placement::pick;
@@ -16,7 +16,7 @@
 
 /// Time after which a slot gained from another instance is taken to be free:
 /// nearly all tasks are shorter.
-const SETTLE_MS: u64 = 1000;
+const SHARE_GAIN_DELAY_MS: u64 = 1000;
 
 /// A worker as this instance sees it.
 #[derive(Debug)]
@@ -29,19 +29,19 @@
     /// Slots of other instances' shares that are lent to this one.
     borrowed: u32,
     /// Slots of these whose loan is over: they get no new task.
-    closed: u32,
+    expired_borrowed: u32,
     /// Until the other instances' tasks on slots just gained have finished.
-    settling: Option<Settling>,
+    delayed_gain: Option<DelayedGain>,
     /// Placements out from here.
     pub running: u32,
     health: Health,
     /// Key under which the worker is in the ready set.
-    ready_as: Option<ReadyKey>,
+    ready_key: Option<ReadyKey>,
 }
 
 /// A larger share that does not count yet.
 #[derive(Clone, Copy, Debug)]
-struct Settling {
+struct DelayedGain {
     /// Slots that may be used before.
     share_before: u32,
     until_ms: u64,
@@ -49,7 +49,7 @@
 
 /// A service's workers as declared, each with this instance's share.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct WorkerDeal {
+pub(crate) struct WorkerAssignment {
     pub workers: Vec<(WorkerId, Worker, u32)>,
     /// Start of this instance's draws, so that instances draw differently.
     pub draw_seed: u64,
@@ -69,14 +69,14 @@
     workers: HashMap<WorkerId, WorkerState>,
     ready: BTreeSet<ReadyKey>,
     /// Workers that may take work, for the policies that draw.
-    open: Vec<WorkerId>,
-    wakes: BinaryHeap<Reverse<(u64, WorkerId)>>,
+    eligible: Vec<WorkerId>,
+    timers: BinaryHeap<Reverse<(u64, WorkerId)>>,
     failure_rate_sum: f64,
     ejected: usize,
     slots: u64,
     lent: u64,
     running: u64,
-    draws: u64,
+    draw_count: u64,
 }
 
 impl WorkerSet {
@@ -87,32 +87,32 @@
             settings,
             workers: HashMap::new(),
             ready: BTreeSet::new(),
-            open: Vec::new(),
-            wakes: BinaryHeap::new(),
+            eligible: Vec::new(),
+            timers: BinaryHeap::new(),
             failure_rate_sum: 0.0,
             ejected: 0,
             slots: 0,
             lent: 0,
             running: 0,
-            draws: 0,
+            draw_count: 0,
         }
     }
 
     /// Replaces the declared workers and their shares; those no longer
     /// declared get no new work and vanish with their last placement.
-    pub fn replace(&mut self, now_ms: u64, run_log2: f64, deal: WorkerDeal) {
-        self.draws = self.draws.max(deal.draw_seed);
-        let declared: HashSet<_> = deal.workers.iter().map(|(id, _, _)| *id).collect();
+    pub fn replace(&mut self, now_ms: u64, run_log2: f64, assignment: WorkerAssignment) {
+        self.draw_count = self.draw_count.max(assignment.draw_seed);
+        let declared: HashSet<_> = assignment.workers.iter().map(|(id, _, _)| *id).collect();
         for (id, state) in &mut self.workers {
             if !declared.contains(id) {
                 state.share = 0;
                 state.worker.leaving = true;
             }
         }
-        for (id, worker, share) in deal.workers {
+        for (id, worker, share) in assignment.workers {
             let share = match self.policy {
                 PlacementPolicy::OwnedSlots => share,
-                PlacementPolicy::TwoChoices | PlacementPolicy::Random => worker.open_slots(),
+                PlacementPolicy::TwoChoices | PlacementPolicy::Random => worker.assignable_slots(),
             };
             let known = self.workers.contains_key(&id);
             let state = self
@@ -120,25 +120,28 @@
                 .entry(id)
                 .or_insert_with(|| WorkerState::new(worker.clone()));
             state.worker = worker;
-            let others_may_run = known || deal.joining;
-            state.set_share(share, others_may_run.then_some(now_ms + SETTLE_MS));
+            let others_may_run = known || assignment.joining;
+            state.set_share(
+                share,
+                others_may_run.then_some(now_ms + SHARE_GAIN_DELAY_MS),
+            );
         }
         self.workers.retain(|_, state| !state.is_unused());
-        self.recount(now_ms, run_log2);
+        self.recompute(now_ms, run_log2);
     }
 
-    fn recount(&mut self, now_ms: u64, run_log2: f64) {
+    fn recompute(&mut self, now_ms: u64, run_log2: f64) {
         self.ready.clear();
         for state in self.workers.values_mut() {
-            state.ready_as = None;
+            state.ready_key = None;
         }
-        self.open = self
+        self.eligible = self
             .workers
             .iter()
             .filter(|(_, state)| state.share > 0)
             .map(|(id, _)| *id)
             .collect();
-        self.open.sort_unstable();
+        self.eligible.sort_unstable();
         let states = self.workers.values();
         self.failure_rate_sum = states.clone().map(|state| state.health.failure_rate).sum();
         self.ejected = states
@@ -148,7 +151,7 @@
         self.slots = states.map(|state| u64::from(state.share)).sum();
         let ids: Vec<_> = self.workers.keys().copied().collect();
         for id in ids {
-            self.refresh(now_ms, run_log2, id);
+            self.update_ready(now_ms, run_log2, id);
         }
     }
 
@@ -159,20 +162,20 @@
 
     /// Slots to count on: all but those of ejected workers.
     pub fn serving_slots(&self) -> f64 {
-        let open = self.open.len().max(1) as f64;
-        let serving = (open - self.ejected as f64).max(1.0);
-        self.slots as f64 * serving / open
+        let eligible = self.eligible.len().max(1) as f64;
+        let serving = (eligible - self.ejected as f64).max(1.0);
+        self.slots as f64 * serving / eligible
     }
 
     /// Workers that may take work, ejected ones included.
-    pub fn open(&self) -> usize {
-        self.open.len()
+    pub fn eligible_workers(&self) -> usize {
+        self.eligible.len()
     }
 
     /// A worker as seen here; `None` where no slot of it is used.
     pub fn health(&self, now: Now, run_log2: f64, id: WorkerId) -> Option<WorkerHealth> {
         let state = self.workers.get(&id)?;
-        Some(state.health.shown(now, run_log2, state.share))
+        Some(state.health.report(now, run_log2, state.share))
     }
 
     /// Placements out.
@@ -191,15 +194,15 @@
             return None;
         }
         match self.policy {
-            PlacementPolicy::OwnedSlots => self.best(avoid),
-            PlacementPolicy::TwoChoices => self.draw_of(2, avoid),
-            PlacementPolicy::Random => self.draw_of(1, avoid),
+            PlacementPolicy::OwnedSlots => self.best_ready(avoid),
+            PlacementPolicy::TwoChoices => self.choose_random(2, avoid),
+            PlacementPolicy::Random => self.choose_random(1, avoid),
         }
     }
 
     /// The worker to avoid is taken only if it is the only one ready, which
     /// means that its pause after the refusal is over.
-    fn best(&self, avoid: Option<WorkerId>) -> Option<WorkerId> {
+    fn best_ready(&self, avoid: Option<WorkerId>) -> Option<WorkerId> {
         let mut ready = self.ready.iter().map(|(_, _, id)| *id);
         let first = ready.next()?;
         if Some(first) != avoid {
@@ -209,17 +212,19 @@
     }
 
     /// The least loaded of `choices` workers drawn among those ready.
-    fn draw_of(&mut self, choices: u32, avoid: Option<WorkerId>) -> Option<WorkerId> {
+    fn choose_random(&mut self, choices: u32, avoid: Option<WorkerId>) -> Option<WorkerId> {
         let mut drawn = Vec::new();
         for _ in 0..choices {
-            self.draws += 1;
-            drawn.extend(pick(self.draws, &self.open, |id| self.is_ready(id, avoid)));
+            self.draw_count += 1;
+            drawn.extend(pick(self.draw_count, &self.eligible, |id| {
+                self.is_ready(id, avoid)
+            }));
         }
         drawn.into_iter().min_by_key(|id| self.workers[id].running)
     }
 
     fn is_ready(&self, id: WorkerId, avoid: Option<WorkerId>) -> bool {
-        let ready = self.workers[&id].ready_as.is_some();
+        let ready = self.workers[&id].ready_key.is_some();
         ready && (Some(id) != avoid || self.ready.len() == 1)
     }
 
@@ -241,12 +246,12 @@
             state.running += 1;
             self.running += 1;
         }
-        self.refresh(now_ms, run_log2, id);
+        self.update_ready(now_ms, run_log2, id);
     }
 
     /// Gives a slot back and judges the worker.
-    pub fn finish(&mut self, now_ms: u64, run_log2: f64, id: WorkerId, showing: Showing) {
-        let peers = self.peers_of(id, run_log2);
+    pub fn finish(&mut self, now_ms: u64, run_log2: f64, id: WorkerId, observation: Observation) {
+        let peers = self.peer_stats(id, run_log2);
         let Some(state) = self.workers.get_mut(&id) else {
             return;
         };
@@ -254,17 +259,19 @@
         self.running -= 1;
         let rate_before = state.health.failure_rate;
         let ejected_before = state.health.is_ejected();
-        state.health.record(now_ms, showing, peers, &self.settings);
+        state
+            .health
+            .record(now_ms, observation, peers, &self.settings);
         self.failure_rate_sum += state.health.failure_rate - rate_before;
         self.ejected += usize::from(state.health.is_ejected());
         self.ejected -= usize::from(ejected_before);
         if state.is_unused() {
-            return self.vanish(id);
+            return self.remove_worker(id);
         }
-        self.refresh(now_ms, run_log2, id);
+        self.update_ready(now_ms, run_log2, id);
     }
 
-    fn vanish(&mut self, id: WorkerId) {
+    fn remove_worker(&mut self, id: WorkerId) {
         let Some(state) = self.workers.remove(&id) else {
             return;
         };
@@ -272,47 +279,50 @@
         self.ejected -= usize::from(state.health.is_ejected());
     }
 
-    fn peers_of(&self, id: WorkerId, run_log2: f64) -> Peers {
+    fn peer_stats(&self, id: WorkerId, run_log2: f64) -> PeerStats {
         let own = self.workers.get(&id);
         let own_rate = own.map_or(0.0, |state| state.health.failure_rate);
         let others = self.workers.len().saturating_sub(1).max(1) as f64;
         let share_max = self.settings.eject_share_max_percent as usize;
-        Peers {
+        PeerStats {
             failure_rate: ((self.failure_rate_sum - own_rate) / others).max(0.0),
             run_log2,
-            may_eject: (self.ejected + 1) * 100 <= self.open.len() * share_max,
+            may_eject: (self.ejected + 1) * 100 <= self.eligible.len() * share_max,
         }
     }
 
     /// Ends the pauses that are over.
-    pub fn wake(&mut self, now_ms: u64, run_log2: f64) {
-        while let Some(Reverse((due_ms, id))) = self.wakes.peek().copied() {
+    pub fn expire_timers(&mut self, now_ms: u64, run_log2: f64) {
+        while let Some(Reverse((due_ms, id))) = self.timers.peek().copied() {
             if due_ms > now_ms {
                 return;
             }
-            self.wakes.pop();
-            self.refresh(now_ms, run_log2, id);
+            self.timers.pop();
+            self.update_ready(now_ms, run_log2, id);
         }
     }
 
     /// Puts a worker where it belongs in the ready set.
-    fn refresh(&mut self, now_ms: u64, run_log2: f64, id: WorkerId) {
+    fn update_ready(&mut self, now_ms: u64, run_log2: f64, id: WorkerId) {
         let Some(state) = self.workers.get_mut(&id) else {
             return;
         };
-        let due_ms = [state.health.wake(now_ms), state.settled_at(now_ms)];
+        let due_ms = [
+            state.health.expire_timers(now_ms),
+            state.update_delayed_gain(now_ms),
+        ];
         if let Some(due_ms) = due_ms.into_iter().flatten().min() {
-            state.schedule(due_ms, id, &mut self.wakes);
+            state.schedule(due_ms, id, &mut self.timers);
         }
-        let ready_as = state.ready_key(now_ms, run_log2, id);
-        if state.ready_as == ready_as {
+        let ready_key = state.current_ready_key(now_ms, run_log2, id);
+        if state.ready_key == ready_key {
             return;
         }
-        if let Some(key) = state.ready_as {
+        if let Some(key) = state.ready_key {
             self.ready.remove(&key);
         }
-        self.ready.extend(ready_as);
-        state.ready_as = ready_as;
+        self.ready.extend(ready_key);
+        state.ready_key = ready_key;
     }
 }
 
@@ -323,21 +333,21 @@
             share: 0,
             lent: 0,
             borrowed: 0,
-            closed: 0,
-            settling: None,
+            expired_borrowed: 0,
+            delayed_gain: None,
             running: 0,
             health: Health::default(),
-            ready_as: None,
+            ready_key: None,
         }
     }
 
     /// Takes a new share; what it gains counts from `gains_at_ms` on.
     fn set_share(&mut self, share: u32, gains_at_ms: Option<u64>) {
         let usable = self.usable_share();
-        self.settling = match gains_at_ms {
-            Some(until_ms) if share > usable => Some(Settling {
+        self.delayed_gain = match gains_at_ms {
+            Some(until_ms) if share > usable => Some(DelayedGain {
                 share_before: usable,
-                until_ms: self.settling.map_or(until_ms, |settling| settling.until_ms),
+                until_ms: self.delayed_gain.map_or(until_ms, |gain| gain.until_ms),
             }),
             _ => None,
         };
@@ -345,28 +355,28 @@
     }
 
     /// When a larger share counts, if it does not yet.
-    fn settled_at(&mut self, now_ms: u64) -> Option<u64> {
-        let until_ms = self.settling?.until_ms;
+    fn update_delayed_gain(&mut self, now_ms: u64) -> Option<u64> {
+        let until_ms = self.delayed_gain?.until_ms;
         if until_ms > now_ms {
             return Some(until_ms);
         }
-        self.settling = None;
+        self.delayed_gain = None;
         None
     }
 
     /// Slots that may be used now.
     fn usable_share(&self) -> u32 {
-        match self.settling {
-            Some(settling) => settling.share_before.min(self.share),
+        match self.delayed_gain {
+            Some(gain) => gain.share_before.min(self.share),
             None => self.share,
         }
     }
 
-    fn ready_key(&self, now_ms: u64, run_log2: f64, id: WorkerId) -> Option<ReadyKey> {
+    fn current_ready_key(&self, now_ms: u64, run_log2: f64, id: WorkerId) -> Option<ReadyKey> {
         let free = self.running < self.health.slots(now_ms, self.usable());
         free.then(|| {
             let load = self.running + self.lent;
-            (self.health.reluctance(run_log2), load, id)
+            (self.health.penalty(run_log2), load, id)
         })
     }
 
@@ -374,7 +384,8 @@
     fn usable(&self) -> u32 {
         match self.worker.leaving {
             true => 0,
-            false => (self.usable_share() + self.borrowed).saturating_sub(self.lent + self.closed),
+            false => (self.usable_share() + self.borrowed)
+                .saturating_sub(self.lent + self.expired_borrowed),
         }
     }
 
@@ -386,11 +397,11 @@
         &mut self,
         due_ms: u64,
         id: WorkerId,
-        wakes: &mut BinaryHeap<Reverse<(u64, WorkerId)>>,
+        timers: &mut BinaryHeap<Reverse<(u64, WorkerId)>>,
     ) {
-        if self.health.wake_at_ms != due_ms {
-            self.health.wake_at_ms = due_ms;
-            wakes.push(Reverse((due_ms, id)));
+        if self.health.timer_due_ms != due_ms {
+            self.health.timer_due_ms = due_ms;
+            timers.push(Reverse((due_ms, id)));
         }
     }
 }
--- a/crates/core/src/engine/worker_set/loans.rs
+++ b/crates/core/src/engine/worker_set/loans.rs
@@ -14,7 +14,7 @@
         let count = free.div_ceil(2).min(u64::from(slots_max));
         let mut lent = Vec::new();
         while (lent.len() as u64) < count {
-            let Some(id) = self.best(None) else {
+            let Some(id) = self.best_ready(None) else {
                 break;
             };
             let Some(state) = self.workers.get_mut(&id) else {
@@ -25,20 +25,20 @@
             }
             state.lent += 1;
             self.lent += 1;
-            self.refresh(now_ms, run_log2, id);
+            self.update_ready(now_ms, run_log2, id);
             lent.push(id);
         }
         lent
     }
 
     /// Takes lent slots back.
-    pub fn take_back(&mut self, now_ms: u64, run_log2: f64, id: WorkerId, slots: u32) {
+    pub fn reclaim(&mut self, now_ms: u64, run_log2: f64, id: WorkerId, slots: u32) {
         if let Some(state) = self.workers.get_mut(&id) {
             let taken = slots.min(state.lent);
             state.lent -= taken;
             self.lent -= u64::from(taken);
         }
-        self.refresh(now_ms, run_log2, id);
+        self.update_ready(now_ms, run_log2, id);
     }
 
     /// Adds borrowed slots of a worker, which may be one without a share.
@@ -46,7 +46,7 @@
         let state = self.workers.entry(id);
         let state = state.or_insert_with(|| WorkerState::new(worker));
         state.borrowed += slots;
-        self.refresh(now_ms, run_log2, id);
+        self.update_ready(now_ms, run_log2, id);
     }
 
     /// Borrowed slots of a worker that no task uses.
@@ -59,33 +59,33 @@
     }
 
     /// Ends a loan's time: its slots get no new task.
-    pub fn close(&mut self, now_ms: u64, run_log2: f64, id: WorkerId, slots: u32) {
+    pub fn expire_loan(&mut self, now_ms: u64, run_log2: f64, id: WorkerId, slots: u32) {
         if let Some(state) = self.workers.get_mut(&id) {
-            state.closed += slots;
+            state.expired_borrowed += slots;
         }
-        self.refresh(now_ms, run_log2, id);
+        self.update_ready(now_ms, run_log2, id);
     }
 
     /// Removes borrowed slots, of a loan that is closed or not.
-    pub fn give_back(
+    pub fn return_borrowed(
         &mut self,
         now_ms: u64,
         run_log2: f64,
         id: WorkerId,
         slots: u32,
-        closed: bool,
+        expired: bool,
     ) {
         let Some(state) = self.workers.get_mut(&id) else {
             return;
         };
         state.borrowed = state.borrowed.saturating_sub(slots);
-        if closed {
-            state.closed = state.closed.saturating_sub(slots);
+        if expired {
+            state.expired_borrowed = state.expired_borrowed.saturating_sub(slots);
         }
         let is_unused = state.is_unused();
-        self.refresh(now_ms, run_log2, id);
+        self.update_ready(now_ms, run_log2, id);
         if is_unused {
-            self.vanish(id);
+            self.remove_worker(id);
         }
     }
 }
