--- a/crates/core/src/engine.rs
+++ b/crates/core/src/engine.rs
@@ -1,9 +1,9 @@
 //! Jobs and tasks of one instance, from submission to answer.
 //!
-//! See [`event`] for what goes in and [`command`] for what comes out. State
-//! is in two kinds of shards, each under its own lock: the job table by hash
-//! of the key, and one pool of queue and workers for each service. A job
-//! shard may be locked before a pool, never after it.
+//! [`event`] defines the inputs and [`command`] the outputs. The state has two
+//! kinds of shards, each with its own lock: job table shards, selected by the
+//! hash of the key, and one pool with a queue and workers per service.
+//! Lock order: a job table shard before a pool.
 
 mod admission;
 pub mod command;
@@ -53,8 +53,8 @@
 
 /// The jobs and tasks of one instance.
 ///
-/// Every method may be called from any thread and pushes what the shell must
-/// do into `out`.
+/// Every method may be called from any thread and appends the commands for the
+/// runtime to `out`.
 pub struct Engine {
     settings: Arc<EngineSettings>,
     shards: Box<[Mutex<JobShard>]>,
@@ -67,7 +67,7 @@
 }
 
 impl Engine {
-    /// An engine without declarations; it admits nothing until
+    /// Creates an engine without declarations. It admits no job until
     /// [`Self::set_admission_limit`] is called.
     pub fn new(settings: EngineSettings) -> Self {
         let shards = (0..settings.jobs.shards.max(1))
@@ -85,10 +85,10 @@
         }
     }
 
-    /// Admits, attaches to, replays or refuses a job.
+    /// Admits or refuses a new job, or answers a resubmission.
     ///
-    /// With `wait` the waiter is answered when the job is final, otherwise at
-    /// once.
+    /// With `wait`, the waiter is answered when the job is final, otherwise
+    /// immediately.
     pub fn submit(
         &self,
         now: Now,
@@ -181,7 +181,7 @@
         Ok((Arc::clone(pool), team))
     }
 
-    /// Answers with a job's state, or with its end if `wait` is set.
+    /// Answers with a job's current state or, with `wait`, its final state.
     pub fn fetch(
         &self,
         now: Now,
@@ -199,7 +199,7 @@
         out.push(refused(waiter, refusal::unknown_job(expired)));
     }
 
-    /// Ends a job; its queued tasks never start.
+    /// Cancels a job; its queued tasks never start.
     pub fn cancel(&self, now: Now, key: &JobKey, waiter: WaiterId, out: &mut Vec<Command>) {
         let mut shard = self.shard(key);
         shard.raise_horizon(self.horizon_ms(now));
@@ -217,7 +217,7 @@
         }
     }
 
-    /// Drops a waiter that went away; the job goes on.
+    /// Removes a waiter whose request was dropped; the job continues.
     pub fn remove_waiter(&self, key: &JobKey, waiter: WaiterId) {
         let mut shard = self.shard(key);
         let Some(entry) = shard.get(key) else {
@@ -228,7 +228,8 @@
         }
     }
 
-    /// Takes the outcome of a placement; outcomes of unknown ones are dropped.
+    /// Processes the outcome of a placement; outcomes of unknown placements
+    /// are dropped.
     pub fn task_finished(
         &self,
         now: Now,
@@ -249,7 +250,7 @@
         }
     }
 
-    /// Passes time: deadlines, and some of the keys that expired.
+    /// Ends jobs past their deadline and removes a batch of expired keys.
     pub fn tick(&self, now: Now, out: &mut Vec<Command>) {
         let pools = self.registry().pools().to_vec();
         for pool in pools {
@@ -266,7 +267,7 @@
         }
     }
 
-    /// Takes the declarations in force.
+    /// Applies the declarations in force.
     pub fn set_config(&self, now: Now, config: &ConfigSnapshot, out: &mut Vec<Command>) {
         let mut registry = self
             .registry
@@ -275,7 +276,7 @@
         registry.set_config(&self.settings, now, config, out);
     }
 
-    /// Takes the failure domain's instances, `me` among them.
+    /// Sets the instances of the failure domain; `me` is this instance.
     pub fn set_domain_members(
         &self,
         now: Now,
@@ -290,17 +291,18 @@
         registry.set_members(&self.settings, now, me, members, out);
     }
 
-    /// Sets the newest key issue time that may be admitted, Unix milliseconds.
+    /// Sets the newest key issue time that may be admitted, in Unix
+    /// milliseconds.
     pub fn set_admission_limit(&self, limit_ms: u64) {
         self.admission_limit_ms.store(limit_ms, Ordering::Release);
     }
 
-    /// Refuses new keys while set; known ones are answered.
+    /// While set, new keys are refused; known keys are still answered.
     pub fn set_leaving(&self, leaving: bool) {
         self.leaving.store(leaving, Ordering::Release);
     }
 
-    /// Counters and sizes.
+    /// Sums the counters of all pools and shards.
     pub fn stats(&self) -> EngineStats {
         let mut stats = EngineStats {
             keys: self.keys.load(Ordering::Relaxed),
@@ -357,8 +359,8 @@
     }
 }
 
-/// Answers `waiter` if the job is final or it does not wait; otherwise keeps
-/// it until the end.
+/// Answers `waiter` now if the job is final or `wait` is false, otherwise
+/// registers it for the job's end.
 fn attach(
     entry: &mut KeyEntry,
     waiter: WaiterId,
--- a/crates/core/src/engine/admission.rs
+++ b/crates/core/src/engine/admission.rs
@@ -1,49 +1,48 @@
-//! Whether a whole job can be done by its deadline, without making admitted
-//! ones late.
+//! Estimates whether a job can meet its deadline without making admitted jobs
+//! miss theirs.
 //!
-//! The estimate is that of a fluid: queued tasks leave in order of rank at the
-//! rate of the slots, and a job is done one long run after its last task
-//! started. A job is refused if its own last task would start too late, or if
-//! its tasks would push those of an admitted job behind it too far.
+//! Uses a fluid approximation: queued tasks start in order of rank at the rate at
+//! which slots become free. A job is refused if its last task would start too
+//! late, or if it would delay an admitted job behind it too much.
 
 use super::queue::JobQueue;
 
-/// Allowance for estimates that are too short.
+/// Factor applied to estimated waits, as they may be too short.
 const SAFETY_FACTOR: f64 = 1.2;
-/// The same for a team ahead of its fair share, so that its jobs leave room
-/// for those of others.
+/// Factor for teams above their fair share, which leaves room for other teams'
+/// jobs.
 const SAFETY_FACTOR_ABOVE_SHARE: f64 = 2.4;
 
-/// What the service can do now.
+/// Current capacity of the service.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Capacity {
-    /// Slots that take work.
+    /// Slots of workers that are not ejected.
     pub slots: f64,
-    /// Slots without a task.
+    /// Slots without a running task.
     pub free_slots: f64,
     /// Mean run time of a task.
     pub mean_ms: f64,
 }
 
-/// What a job asks for.
+/// Resource demand of a job.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct JobDemand {
     pub rank_ms: u64,
     pub tasks: u32,
-    /// Latest start of its last task, from now.
+    /// Time until the latest start of its last task.
     pub slack_ms: f64,
-    /// Whether its team is ahead of its fair share.
     pub above_fair_share: bool,
 }
 
 impl Capacity {
-    /// Wait until the task behind `position` others starts.
+    /// Estimated wait of the task at `position` in the queue, counted from 1.
     pub fn wait_ms(&self, position: f64) -> f64 {
         (position - self.free_slots).max(0.0) * self.mean_ms / self.slots.max(1.0)
     }
 }
 
-/// How much too late some job would be, or `None` if all can be in time.
+/// The largest delay past a latest start among the job and those behind it;
+/// `None` if all can start in time.
 pub(crate) fn excess_ms(
     now_ms: u64,
     queue: &JobQueue,
--- a/crates/core/src/engine/command.rs
+++ b/crates/core/src/engine/command.rs
@@ -1,4 +1,4 @@
-//! What the engine asks of the shell.
+//! Outputs of the engine: commands for the runtime, and answers.
 
 use std::sync::Arc;
 
@@ -9,49 +9,40 @@
 use crate::key::JobKey;
 use crate::verdict::Verdict;
 
-/// One thing for the shell to do, at once.
+/// An action for the runtime to perform immediately.
 #[derive(Clone, Debug, PartialEq, Eq)]
+#[expect(missing_docs, reason = "fields explain themselves")]
 pub enum Command {
     /// Send a task to a worker, and report its outcome under the same id.
     StartTask {
-        /// Names this placement.
         task: TaskId,
-        /// Job the task belongs to.
         key: Arc<JobKey>,
         /// Position of the task in its job.
         index: u32,
-        /// Placement number of this task, from 1.
+        /// Number of this placement of the task, from 1.
         attempt: u32,
-        /// The worker chosen.
         worker: WorkerId,
-        /// Its address, IP:PORT.
+        /// IP:PORT of the worker.
         address: Arc<str>,
-        /// Path of the service's endpoint.
+        /// URL path of the service's endpoint.
         path: Arc<str>,
-        /// Body to send.
         payload: Bytes,
-        /// Longest wait for the answer.
         timeout_ms: u64,
     },
-    /// Give a waiter the job's answer. A waiter is answered exactly once.
-    Answer {
-        /// Who waits.
-        waiter: WaiterId,
-        /// The answer.
-        answer: JobAnswer,
-    },
+    /// Send a waiter its answer. Each waiter is answered exactly once.
+    Answer { waiter: WaiterId, answer: JobAnswer },
 }
 
 /// State of a job.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq, Hash)]
 pub enum JobState {
-    /// Admitted and not final.
+    /// Admitted and not yet final.
     #[display("running")]
     Running,
-    /// Every task has its result.
+    /// Every task has a result.
     #[display("complete")]
     Complete,
-    /// Final without a whole answer.
+    /// Final without all results.
     #[display("failed")]
     Failed,
     /// Cancelled by the caller.
@@ -59,51 +50,49 @@
     Cancelled,
 }
 
-/// What a waiter gets.
+/// Answer to a submission, fetch or cancellation.
 #[derive(Clone, Debug, PartialEq, Eq)]
+#[expect(missing_docs, reason = "fields explain themselves")]
 pub enum JobAnswer {
-    /// The job is known here.
+    /// This instance knows the job.
     Known {
-        /// State of the job.
         state: JobState,
         /// Whether its tasks may have started.
         verdict: Verdict,
-        /// One result a task, in order; empty unless complete.
+        /// One result per task, in order; empty unless complete.
         results: Arc<[Bytes]>,
-        /// Why it failed, one word; empty otherwise.
+        /// Machine-readable failure reason; empty if the job did not fail.
         reason: &'static str,
-        /// Why it failed, for people.
+        /// Human-readable failure description.
         detail: String,
-        /// Whether an earlier submission of the key made this job.
+        /// Whether an earlier submission of the key created the job.
         replayed: bool,
-        /// Tasks answered so far.
+        /// Tasks with a result.
         tasks_done: u32,
-        /// Tasks of the job.
         tasks_total: u32,
     },
-    /// The submission is refused.
     Refused(Refusal),
 }
 
-/// A refusal, final and given at once.
+/// A refusal of a request; the final answer to it.
 #[derive(Clone, Debug, PartialEq, Eq)]
+#[expect(missing_docs, reason = "fields explain themselves")]
 pub struct Refusal {
-    /// Why, for programs.
     pub reason: RefusalReason,
-    /// Why, for people.
+    /// Human-readable description.
     pub detail: String,
     /// Whether tasks under this key may have started.
     pub verdict: Verdict,
-    /// When to come back; 0 where coming back will not help.
+    /// Delay before a retry; 0 if a retry cannot succeed.
     pub retry_after_ms: u64,
 }
 
 impl Refusal {
-    /// What this request alone may have started, whatever earlier requests
-    /// under the same key did.
+    /// Verdict on this request alone, regardless of earlier requests with the
+    /// same key.
     ///
-    /// A caller all of whose requests under a key say `not_run` here can
-    /// safely submit the work under a new key.
+    /// If it is `not_run` for all requests with a key, the caller can safely
+    /// submit the work with a new key.
     pub fn request_verdict(&self) -> Verdict {
         match self.reason {
             RefusalReason::AnswerLost => Verdict::MayHaveRun,
@@ -117,9 +106,9 @@
 #[display(rename_all = "snake_case")]
 #[from_str(rename_all = "snake_case")]
 pub enum RefusalReason {
-    /// The body or the key is malformed.
+    /// The body or the key is invalid.
     Malformed,
-    /// The body exceeds a size bound.
+    /// The body exceeds the size limit.
     TooLarge,
     /// The job has more tasks than allowed.
     TooManyTasks,
@@ -129,31 +118,32 @@
     UnknownTeam,
     /// The key was submitted with another body; the new body was not run.
     KeyReused,
-    /// The key's issue time is too far in the past; its fate is forgotten.
+    /// The key's issue time is too far in the past; its outcome may have been
+    /// forgotten.
     KeyExpired,
     /// The key's issue time is in the future.
     KeyAhead,
-    /// The instance that owned the key is lost, and its memory with it.
+    /// The instance that owned the key is lost with its record of jobs.
     OwnerLost,
-    /// The instance that owned the key left before it took the job.
+    /// The instance that owned the key left without having admitted the job.
     OwnerLeft,
-    /// The instance that owns the key cannot be reached now; nothing was sent.
+    /// The instance that owns the key is unreachable; nothing was sent.
     OwnerUnreachable,
-    /// The request was handed to the key's owner, whose answer did not come.
+    /// The request was sent to the key's owner, which did not answer.
     AnswerLost,
-    /// This instance may not admit keys of this time yet.
+    /// The key's issue time is beyond this instance's admission limit.
     NotVouched,
     /// This instance is leaving.
     Leaving,
-    /// The job cannot be done by its deadline.
+    /// The job, or one already admitted, would miss its deadline.
     Overload,
-    /// The deadline is shorter than the tasks need even on free slots.
+    /// The deadline cannot be met even if all slots are free.
     Impossible,
     /// The team's quota is used up.
     Quota,
-    /// The service has no worker here that takes work.
+    /// The service has no worker here that accepts tasks.
     NoWorkers,
-    /// Too many keys are remembered.
+    /// The limit of remembered keys is reached.
     MemoryFull,
     /// No job of this key is known.
     UnknownJob,
--- a/crates/core/src/engine/ejection.rs
+++ b/crates/core/src/engine/ejection.rs
@@ -1,63 +1,65 @@
-//! When a worker gets no work for a while: it fails what it starts, or takes
-//! far longer than its peers.
+//! Outlier ejection: workers that fail their tasks, or are much slower than
+//! their peers, temporarily get no tasks.
 //!
-//! A worker is judged against its peers, so that a fault which all show ejects
-//! nobody, and never more than a set share of a service's workers is out at
-//! once. A worker comes back by real tasks, one at a time, after a pause that
-//! doubles while it stays bad.
+//! A worker is compared with its peers, so that a failure common to all workers
+//! ejects none, and the share of ejected workers of a service is limited. After
+//! the ejection time, the worker is on probation and gets one task at a time. The
+//! ejection time doubles with each ejection until the worker recovers.
 
 use trefoil_schema::settings::WorkerSettings;
 
 use super::health::{HealthState, WorkerHealth, typical_ms};
 use crate::time::Now;
 
-/// Weight of a new outcome in a worker's failure rate.
+/// Weight of a new outcome in a worker's failure rate, a moving average.
 const FAILURE_GAIN: f64 = 0.1;
-/// Weight of a new run time in a worker's mean.
+/// Weight of a new run time in a worker's moving average.
 const RUN_TIME_GAIN: f64 = 0.1;
-/// A streak of failures must be rarer than this at the peers' failure rate.
+/// A failure streak is an outlier if it is less likely than this at the peers'
+/// failure rate.
 const STREAK_PROBABILITY_MAX: f64 = 0.001;
-/// Run times from which a worker's mean is judged.
+/// Minimum number of run times before a worker can be ejected as slow.
 const SLOW_SAMPLES_MIN: u32 = 16;
-/// Run times after which a worker on trial is judged.
+/// Number of run times after which probation ends.
 const PROBATION_SAMPLES: u32 = 3;
-/// Ratio to the service's typical run time, as a power of two, at which a
-/// worker is ejected as slow: three times.
+/// Binary logarithm of the ratio to the service's mean run time above which a
+/// worker is ejected as slow: a factor of 3.
 const SLOW_LOG2: f64 = 1.585;
-/// Ratio below which a worker on trial is taken back: twice.
+/// Ratio up to which a worker on probation recovers: a factor of 2.
 const RECOVERED_LOG2: f64 = 1.0;
-/// Ratio from which a worker is chosen after its peers: one and a half.
+/// Ratio above which a worker is selected after its peers: a factor of 1.5.
 const DEPRIORITIZED_LOG2: f64 = 0.585;
-/// Most doublings of the probation pause.
+/// Maximum number of doublings of the ejection time.
 const EJECTION_DOUBLINGS_MAX: u32 = 5;
-/// Pause after a refused placement, doubled by each further one in a row.
+/// Initial backoff after a refused placement; doubles with each consecutive
+/// refusal.
 const REFUSAL_BACKOFF_MS: u64 = 10;
-/// Most doublings of that pause.
+/// Maximum number of doublings of the refusal backoff.
 const REFUSAL_DOUBLINGS_MAX: u32 = 6;
 
-/// Whether a worker gets work.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum EjectionState {
-    /// As much as its share allows.
+    /// Gets tasks on all slots of the share.
     Serving,
-    /// None until then.
+    /// Gets no tasks.
     Ejected { until_ms: u64 },
-    /// One task at a time.
+    /// Gets one task at a time.
     Probation,
 }
 
-/// How a placement ended, as far as the worker is judged by it.
+/// Outcome of a placement, as evidence of a worker's health.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Observation {
-    /// A result after a run time.
-    Done { run_ms: u64 },
-    /// A failure, or no answer.
+    Done {
+        run_ms: u64,
+    },
+    /// The task failed or was not answered.
     Failed,
-    /// Refused before start.
+    /// The task was refused before its start.
     Refused,
 }
 
-/// What the worker is compared with.
+/// Statistics with which a worker is compared.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct PeerStats {
     /// Mean failure rate of the other workers.
@@ -68,18 +70,19 @@
     pub may_eject: bool,
 }
 
-/// A worker's record.
+/// Health of a worker.
 #[derive(Clone, Debug)]
 pub(crate) struct Health {
     pub state: EjectionState,
-    /// No work before this time, after refusals.
+    /// End of the backoff after refusals.
     pub backoff_until_ms: u64,
-    /// When the worker is looked at again, if it pauses.
+    /// When the worker's timer is due.
     pub timer_due_ms: u64,
     pub failure_rate: f64,
     failures_in_row: u32,
     refusals_in_row: u32,
-    /// Mean binary logarithm of its run times; single long ones weigh little.
+    /// Mean binary logarithm of the run times in milliseconds; robust against
+    /// single long ones.
     run_log2: f64,
     samples: u32,
     ejections: u32,
@@ -102,7 +105,7 @@
 }
 
 impl Health {
-    /// Takes an outcome and decides on the worker's standing.
+    /// Records an observation and updates the ejection state.
     pub fn record(
         &mut self,
         now_ms: u64,
@@ -182,7 +185,8 @@
         }
     }
 
-    /// Ends the pauses that are over; gives the end of one that is not.
+    /// Ends an ejection that is over; returns when the current ejection or
+    /// backoff ends, if there is one.
     pub fn expire_timers(&mut self, now_ms: u64) -> Option<u64> {
         if let EjectionState::Ejected { until_ms } = self.state {
             if until_ms > now_ms {
@@ -193,7 +197,7 @@
         (self.backoff_until_ms > now_ms).then_some(self.backoff_until_ms)
     }
 
-    /// Tasks the worker may have at once, of `share` slots.
+    /// Number of tasks that the worker may run, out of `share` slots.
     pub fn slots(&self, now_ms: u64, share: u32) -> u32 {
         match self.state {
             _ if self.backoff_until_ms > now_ms => 0,
@@ -203,12 +207,12 @@
         }
     }
 
-    /// Whether the worker is out, or on trial.
+    /// Whether the worker is ejected or on probation.
     pub fn is_ejected(&self) -> bool {
         self.state != EjectionState::Serving
     }
 
-    /// The record for people.
+    /// The health to report to operators.
     pub fn report(&self, now: Now, run_log2: f64, slots_owned: u32) -> WorkerHealth {
         let is_observed = self.samples > 0 || self.failures_in_row > 0;
         let is_slow = self.is_deprioritized(run_log2);
@@ -228,7 +232,7 @@
         self.samples >= PROBATION_SAMPLES && self.run_log2 > run_log2 + DEPRIORITIZED_LOG2
     }
 
-    /// Order of choice; workers of a lower one go first.
+    /// Workers with a lower penalty are selected first.
     pub fn penalty(&self, run_log2: f64) -> u8 {
         u8::from(self.is_deprioritized(run_log2)) + 2 * u8::from(self.failures_in_row > 0)
     }
--- a/crates/core/src/engine/event.rs
+++ b/crates/core/src/engine/event.rs
@@ -1,4 +1,4 @@
-//! What the engine is told.
+//! Inputs of the engine.
 
 use std::sync::Arc;
 
@@ -6,61 +6,60 @@
 
 use crate::key::JobKey;
 
-/// A whole submission, already checked for form.
+/// A submission, already parsed and validated.
 #[derive(Clone, Debug)]
+#[expect(missing_docs, reason = "fields explain themselves")]
 pub struct Submission {
-    /// Idempotency key.
     pub key: JobKey,
     /// Hash of the body; a resubmission must have the same.
     pub fingerprint: u64,
-    /// Service whose workers run the tasks.
     pub service: Arc<str>,
-    /// Team whose quota the job counts against.
+    /// Team whose quota the job is charged to.
     pub team: Arc<str>,
-    /// Time the job has, from now.
+    /// Time until the deadline.
     pub timeout_ms: u64,
-    /// The tasks, in answer order.
+    /// In the order of the results.
     pub tasks: Vec<Task>,
 }
 
 /// One task of a submission.
 #[derive(Clone, Debug)]
 pub struct Task {
-    /// Body for the backend server.
+    /// Request body for the backend server.
     pub payload: Bytes,
-    /// Run time that the caller declares; 0 for none.
+    /// Run time declared by the caller; 0 if none.
     pub declared_run_ms: u64,
 }
 
-/// Names whoever waits for a job's answer; chosen by the shell.
+/// Identifies a request that waits for an answer; assigned by the runtime.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct WaiterId(pub u64);
 
-/// Names one placement of a task on a worker; never used again.
+/// Identifies one placement of a task on a worker; never reused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct TaskId(pub u64);
 
-/// Names a worker for as long as it is declared; never used again.
+/// Identifies a worker while it is declared; never reused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct WorkerId(pub u32);
 
-/// A worker as declared, in this failure domain.
+/// A declared worker of this failure domain.
 #[derive(Clone, Debug, PartialEq, Eq)]
+#[expect(missing_docs, reason = "fields explain themselves")]
 pub struct Worker {
     /// Name of the backend server resource.
     pub name: Arc<str>,
-    /// Service that it serves.
     pub service: Arc<str>,
-    /// Where it answers, IP:PORT.
+    /// IP:PORT.
     pub address: Arc<str>,
-    /// Tasks it runs at once.
+    /// Number of tasks that it runs concurrently.
     pub slots: u32,
-    /// Whether it is leaving: no new work.
+    /// Whether it gets no new tasks.
     pub leaving: bool,
 }
 
 impl Worker {
-    /// Slots that take new work.
+    /// Slots to which new tasks may be assigned.
     pub fn assignable_slots(&self) -> u32 {
         match self.leaving {
             true => 0,
@@ -69,15 +68,15 @@
     }
 }
 
-/// How a placement of a task ended.
+/// Outcome of a placement.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum TaskOutcome {
     /// The backend server answered with a result.
     Done(Bytes),
-    /// The backend server ran the task and reported failure.
+    /// The backend server ran the task and reported a failure.
     Failed(String),
     /// The task provably did not start; it may be placed again.
     NotRun(String),
-    /// Nothing is known; the task must not be placed again.
+    /// It is unknown whether the task ran; it must not be placed again.
     MayHaveRun(String),
 }
--- a/crates/core/src/engine/failure.rs
+++ b/crates/core/src/engine/failure.rs
@@ -1,30 +1,30 @@
-//! Why an admitted job ended without a whole answer.
+//! Why an admitted job ended without all results.
 
 use derive_more::{Display, FromStr};
 
-/// The reason of a job's end, one word for programs.
+/// Machine-readable reason of a job's end.
 #[derive(Clone, Copy, Debug, Display, FromStr, PartialEq, Eq, Hash)]
 #[display(rename_all = "snake_case")]
 #[from_str(rename_all = "snake_case")]
 pub enum FailureReason {
     /// A task ran and failed.
     TaskFailed,
-    /// A worker took a task and gave no answer to it.
+    /// A worker accepted a task and did not answer.
     TaskLost,
-    /// A task was refused before its start, as often as it may be placed.
+    /// A task was refused before its start and has no attempts left.
     TaskRefused,
-    /// A task was refused before its start, and too many others were.
+    /// A task was refused before its start and the retry budget is used up.
     RetryBudget,
     /// The deadline passed before the last result.
     Deadline,
     /// The caller cancelled the job.
     Cancelled,
-    /// The job completed; its results cannot be given any more.
+    /// The job completed, but its results are no longer kept.
     ResultDropped,
 }
 
 impl FailureReason {
-    /// The word.
+    /// The reason as it is sent to callers.
     pub const fn name(self) -> &'static str {
         match self {
             Self::TaskFailed => "task_failed",
--- a/crates/core/src/engine/health.rs
+++ b/crates/core/src/engine/health.rs
@@ -1,61 +1,60 @@
-//! What this instance has seen of its workers, for people: nothing here
-//! decides on placement.
+//! Health of workers as reported to operators; not used for placement.
 
 use super::Engine;
 use super::ejection::EjectionState;
 use crate::time::Now;
 
-/// How a worker does at this instance.
+/// Health of a worker as observed by this instance.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum HealthState {
-    /// No outcome of any task yet.
+    /// No task outcome was recorded yet.
     Unobserved,
-    /// It gets work as its slots allow.
+    /// Gets tasks on all its slots.
     Serving,
-    /// It takes longer than its peers and is chosen after them.
+    /// Slower than its peers, so it is selected after them.
     Slow,
-    /// It gets one task at a time until it has proved itself.
+    /// Gets one task at a time after an ejection.
     Probation,
-    /// It gets no work for this long.
+    /// Gets no tasks.
     Ejected {
-        /// Time left, in milliseconds.
+        /// Remaining time in milliseconds.
         for_ms: u64,
     },
 }
 
-/// A worker as this instance sees it.
+/// Health and statistics of a worker on this instance.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
+#[expect(missing_docs, reason = "fields explain themselves")]
 pub struct WorkerHealth {
-    /// How it does.
     pub state: HealthState,
-    /// Slots of it that this instance may use.
+    /// Slots of the worker assigned to this instance.
     pub slots_owned: u32,
-    /// Its typical run time in milliseconds, rounded; 0 before any.
+    /// Geometric mean of its run times in milliseconds; 0 if none is recorded.
     pub typical_ms: u64,
-    /// The service's typical run time in milliseconds, rounded.
+    /// Geometric mean of the service's run times in milliseconds.
     pub service_typical_ms: u64,
 }
 
-/// A service's workers as this instance sees them.
+/// Summary of a service's workers on this instance.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ServiceHealth {
-    /// Workers of which this instance may use slots.
+    /// Workers with slots assigned to this instance.
     pub workers: u32,
-    /// Those of them that are ejected or on probation.
+    /// Workers that are ejected or on probation.
     pub workers_ejected: u32,
-    /// Slots that this instance may use.
+    /// Slots assigned to this instance.
     pub slots_owned: u64,
 }
 
 impl Engine {
-    /// A declared worker as seen here; `None` where no slot of it is used.
+    /// Health of a declared worker; `None` if this instance uses no slot of it.
     pub fn worker_health(&self, now: Now, name: &str) -> Option<WorkerHealth> {
         let registry = self.registry();
         let (pool, id) = registry.worker_pool(name)?;
         pool.lock().worker_health(now, id)
     }
 
-    /// A declared service's workers as seen here.
+    /// Health of a declared service's workers.
     pub fn service_health(&self, service: &str) -> Option<ServiceHealth> {
         let registry = self.registry();
         let health = registry.pool(service)?.lock().service_health();
@@ -64,7 +63,7 @@
 }
 
 impl HealthState {
-    /// The standing for people behind the one that decides.
+    /// The health to report for an ejection state.
     pub(super) fn of(state: EjectionState, now: Now, is_observed: bool, is_slow: bool) -> Self {
         match state {
             EjectionState::Ejected { until_ms } => Self::Ejected {
@@ -78,7 +77,7 @@
     }
 }
 
-/// A mean binary logarithm of milliseconds, as whole milliseconds.
+/// Converts a mean binary logarithm of milliseconds to whole milliseconds.
 pub(super) fn typical_ms(mean_log2: f64) -> u64 {
     mean_log2.exp2().round() as u64
 }
--- a/crates/core/src/engine/job.rs
+++ b/crates/core/src/engine/job.rs
@@ -1,4 +1,4 @@
-//! A job in work, and how a job ended.
+//! Admitted jobs and how they ended.
 
 use std::sync::Arc;
 
@@ -13,15 +13,15 @@
 use crate::verdict::Verdict;
 
 new_key_type! {
-    /// Names a job in work within its pool.
+    /// Identifies an active job within its pool.
     pub(crate) struct JobId;
 }
 
-/// A task that a worker refused before start, to be placed again.
+/// A task that a worker refused before its start, to be placed again.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct RefusedTask {
     pub index: u32,
-    /// Placements so far.
+    /// Number of placements so far.
     pub attempts: u32,
     /// The worker that refused it last.
     pub refused_by: WorkerId,
@@ -35,45 +35,46 @@
     pub avoid: Option<WorkerId>,
 }
 
-/// An admitted job that is not final.
+/// An admitted job that is not yet final.
 #[derive(Debug)]
 pub(crate) struct ActiveJob {
     pub key: Arc<JobKey>,
     pub team: TeamIndex,
-    /// Position in the queue's order; smaller goes first.
+    /// Sort key in the queue; lower ranks are placed first.
     pub rank_ms: u64,
-    /// Latest start of the last task that still meets the deadline.
+    /// Latest time at which the last task can start and meet the deadline.
     pub latest_start_ms: u64,
-    /// Whether the job waits for its team's bound of slots.
+    /// Whether the job is out of the queue because its team uses all the slots
+    /// that it may.
     pub parked: bool,
-    /// Payload of each task until it is done, then its result.
+    /// Each task's payload, replaced by its result when the task is done.
     pub tasks: Vec<Bytes>,
     pub refused_tasks: Vec<RefusedTask>,
-    /// First index that was never placed.
+    /// Lowest index that was never placed.
     pub next_unplaced: u32,
     pub running: u32,
     pub done: u32,
-    /// Whether a placement had an outcome other than `NotRun`.
+    /// Whether any placement ended with an outcome other than `NotRun`.
     pub may_have_run: bool,
 }
 
 impl ActiveJob {
-    /// Tasks waiting for a slot.
+    /// Number of tasks waiting for a slot.
     pub fn queued(&self) -> u32 {
         self.total() - self.next_unplaced + self.refused_tasks.len() as u32
     }
 
-    /// Tasks without a result.
+    /// Number of tasks without a result.
     pub fn remaining(&self) -> u32 {
         self.total() - self.done
     }
 
-    /// Tasks of the job.
     pub fn total(&self) -> u32 {
         self.tasks.len() as u32
     }
 
-    /// The task to place next; refused ones go first, being the oldest.
+    /// The task to place next. Refused tasks are placed first because they have
+    /// waited longest.
     pub fn peek(&self) -> Option<NextTask> {
         if let Some(refused) = self.refused_tasks.last() {
             return Some(NextTask {
@@ -89,7 +90,7 @@
         })
     }
 
-    /// Takes the task that [`Self::peek`] shows.
+    /// Marks the task returned by [`Self::peek`] as running.
     pub fn take_next(&mut self) {
         if self.refused_tasks.pop().is_none() {
             self.next_unplaced += 1;
@@ -97,7 +98,7 @@
         self.running += 1;
     }
 
-    /// What is known if the job ends now without a whole answer.
+    /// The verdict if the job ends now without all results.
     pub fn verdict(&self) -> Verdict {
         match self.may_have_run || self.running > 0 {
             true => Verdict::MayHaveRun,
@@ -119,7 +120,7 @@
 }
 
 impl JobEnd {
-    /// The whole answer of a job whose tasks all have results.
+    /// The end of a job whose tasks all have results.
     pub fn complete(tasks: Vec<Bytes>) -> Self {
         let tasks_total = tasks.len() as u32;
         Self {
@@ -133,7 +134,7 @@
         }
     }
 
-    /// The end of a job without a whole answer.
+    /// The end of a failed or cancelled job.
     pub fn incomplete(
         active: &ActiveJob,
         state: JobState,
@@ -151,7 +152,6 @@
         }
     }
 
-    /// The answer for a waiter.
     pub fn answer(&self, replayed: bool) -> JobAnswer {
         JobAnswer::Known {
             state: self.state,
@@ -166,7 +166,7 @@
     }
 }
 
-/// A job that ended within its pool, for the job table.
+/// A job that ended in its pool, to be recorded in the job table.
 #[derive(Debug)]
 pub(crate) struct EndedJob {
     pub key: Arc<JobKey>,
--- a/crates/core/src/engine/job_table.rs
+++ b/crates/core/src/engine/job_table.rs
@@ -1,8 +1,8 @@
-//! Every key that may still be submitted, with its job's state or end.
+//! The keys that may still be submitted, with the state or end of their jobs.
 //!
-//! A key is forgotten only when its issue time has fallen behind the horizon,
-//! below which no key is admitted; so a forgotten key never starts again. The
-//! horizon never goes back, whatever the wall clock does.
+//! A key is removed only when it was issued before the horizon. Keys issued
+//! before the horizon are never admitted, so a removed key cannot start again.
+//! The horizon never decreases, even if the wall clock is set back.
 
 use std::collections::{BTreeSet, HashMap, VecDeque};
 use std::mem;
@@ -18,18 +18,19 @@
 use super::remembered::RememberedJob;
 use crate::key::JobKey;
 
-/// Most keys forgotten by one call, so that a call stays short.
+/// Maximum number of keys removed per call, to bound the time that the lock is
+/// held.
 const EXPIRE_BATCH: usize = 256;
 
-/// Someone who waits for a job's end.
+/// A request that waits for a job's end.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Waiter {
     pub id: WaiterId,
-    /// Whether an earlier submission made the job.
+    /// Whether an earlier submission created the job.
     pub replayed: bool,
 }
 
-/// A job that is not final.
+/// A job that is not yet final.
 pub(crate) struct RunningJob {
     pub pool: Arc<Pool>,
     pub job: JobId,
@@ -37,13 +38,11 @@
     pub waiters: Vec<Waiter>,
 }
 
-/// State of a remembered key.
 pub(crate) enum KeyState {
     Running(Box<RunningJob>),
     Ended(Box<JobEnd>),
 }
 
-/// A remembered key.
 pub(crate) struct KeyEntry {
     pub fingerprint: u64,
     pub state: KeyState,
@@ -54,16 +53,16 @@
 pub(crate) struct JobShard {
     entries: HashMap<Arc<JobKey>, KeyEntry>,
     by_issue_time: BTreeSet<(u64, Arc<JobKey>)>,
-    /// Keys with results in memory, oldest end first.
+    /// Keys whose results are kept, in the order in which the jobs ended.
     with_results: VecDeque<Arc<JobKey>>,
     pub results_bytes: u64,
     pub running: u64,
-    /// Keys issued before this time are refused.
+    /// Keys issued before this time are refused, Unix milliseconds.
     horizon_ms: u64,
 }
 
 impl JobShard {
-    /// Moves the horizon on; it never goes back.
+    /// Raises the horizon; a lower value is ignored.
     pub fn raise_horizon(&mut self, horizon_ms: u64) {
         self.horizon_ms = self.horizon_ms.max(horizon_ms);
     }
@@ -73,12 +72,11 @@
         key.issued_ms() < self.horizon_ms
     }
 
-    /// The entry of a key.
     pub fn get(&mut self, key: &JobKey) -> Option<&mut KeyEntry> {
         self.entries.get_mut(key)
     }
 
-    /// Remembers a job that was just admitted.
+    /// Adds a job that was just admitted.
     pub fn insert_running(&mut self, key: Arc<JobKey>, fingerprint: u64, job: RunningJob) {
         self.by_issue_time
             .insert((key.issued_ms(), Arc::clone(&key)));
@@ -87,12 +85,11 @@
         self.running += 1;
     }
 
-    /// Keys issued before this time are refused, Unix milliseconds.
     pub fn horizon_ms(&self) -> u64 {
         self.horizon_ms
     }
 
-    /// Remembers a job that ended elsewhere.
+    /// Adds a job that ended on another instance.
     pub fn insert_ended(
         &mut self,
         key: Arc<JobKey>,
@@ -113,7 +110,7 @@
         }
     }
 
-    /// Adds all ended jobs to `jobs`; `None` if one still runs.
+    /// Adds all ended jobs to `jobs`; returns `None` if a job still runs.
     pub fn copy_ended(&self, jobs: &mut Vec<RememberedJob>) -> Option<()> {
         for (key, entry) in &self.entries {
             let KeyState::Ended(end) = &entry.state else {
@@ -128,8 +125,8 @@
         Some(())
     }
 
-    /// Records a job's end, answers its waiters and keeps results within
-    /// `results_bytes_max`.
+    /// Records a job's end, answers its waiters, and drops the oldest results
+    /// beyond `results_bytes_max`.
     pub fn end(&mut self, ended: EndedJob, results_bytes_max: u64, out: &mut Vec<Command>) {
         let EndedJob { key, end } = ended;
         let Some(entry) = self.entries.get_mut(&*key) else {
@@ -167,7 +164,7 @@
         }
     }
 
-    /// Forgets some of the keys behind the horizon.
+    /// Removes a batch of expired keys; returns their number.
     pub fn remove_expired(&mut self) -> usize {
         let mut removed = 0;
         while removed < EXPIRE_BATCH {
--- a/crates/core/src/engine/lending.rs
+++ b/crates/core/src/engine/lending.rs
@@ -1,68 +1,68 @@
 //! Loans of task slots between the instances of a failure domain.
 //!
-//! An instance with queued tasks and no free slot asks one peer at a time; a
-//! peer without queued tasks lends up to half of its free slots. The borrower
-//! may start tasks on a borrowed slot until the loan ends, and returns it as
-//! soon as it is idle and nothing is queued. A loan needs no agreement: should
-//! both use a slot, the worker refuses one of the tasks before its start.
+//! An instance with queued tasks and no free slot requests a loan from one peer
+//! at a time. A peer without queued tasks lends up to half of its free slots.
+//! The borrower may start tasks on a borrowed slot until the loan expires, and
+//! returns the slot when it is idle and nothing is queued. Loans are not
+//! synchronised: if both instances use a slot, the worker refuses one of the
+//! tasks before its start.
 
 use std::sync::Arc;
 
 use super::event::WorkerId;
 
-/// Most slots asked for at once.
+/// Maximum number of slots per request.
 const REQUEST_SLOTS_MAX: u64 = 64;
-/// Longest wait for a peer's answer before the next is asked.
+/// Timeout of a request, after which the next peer may be asked.
 const ANSWER_TIMEOUT_MS: u64 = 100;
-/// First pause before a peer that had no slot is asked again.
+/// Initial backoff before the next request to a peer.
 const BACKOFF_MIN_MS: u64 = 40;
-/// Doublings of that pause at most.
+/// Maximum number of doublings of the backoff while a peer lends nothing.
 const BACKOFF_DOUBLINGS_MAX: u32 = 4;
-/// A lender waits so many times the loan's length for slots that are not
-/// returned: the last task may run on, or the return be lost.
+/// A lender reclaims slots that are not returned within this multiple of the
+/// loan's duration: the last task may take longer, or the return may be lost.
 const RECLAIM_FACTOR: u64 = 5;
 
-/// Slots of one worker.
+/// A number of slots of one worker.
 #[derive(Clone, Debug, PartialEq, Eq)]
+#[expect(missing_docs, reason = "the field explains itself")]
 pub struct WorkerSlots {
     /// Name of the backend server resource.
     pub worker: Arc<str>,
-    /// How many of its slots.
     pub slots: u32,
 }
 
-/// What to tell a peer of the failure domain.
+/// A message to a peer in the failure domain.
 #[derive(Clone, Debug, PartialEq, Eq)]
+#[expect(missing_docs, reason = "fields explain themselves")]
 pub struct SlotMessage {
-    /// Name of the peer.
+    /// Name of the receiving instance.
     pub to: Arc<str>,
-    /// Service whose workers are meant.
     pub service: Arc<str>,
-    /// What is asked or given.
     pub body: SlotMessageBody,
 }
 
-/// What is asked or given.
+/// Body of a [`SlotMessage`].
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum SlotMessageBody {
-    /// Asks for a loan of so many slots.
+    /// Requests a loan of up to this many slots.
     Request(u32),
     /// Returns borrowed slots.
     Return(Vec<WorkerSlots>),
 }
 
-/// One loan of slots of one worker, given or taken.
+/// A loan of slots of one worker, lent or borrowed.
 #[derive(Clone, Debug)]
 pub(crate) struct Loan {
     pub peer: Arc<str>,
     pub worker: WorkerId,
     pub slots: u32,
     pub until_ms: u64,
-    /// The time is over and the slots are not returned yet.
+    /// Whether the loan's time is over but its slots are not returned yet.
     pub expired: bool,
 }
 
-/// A peer that may lend.
+/// Another instance of the failure domain, which may lend slots.
 #[derive(Debug)]
 struct Peer {
     name: Arc<str>,
@@ -70,19 +70,19 @@
     refusals: u32,
 }
 
-/// One service's loans.
+/// The loans of one service.
 #[derive(Debug, Default)]
 pub(crate) struct Lending {
     peers: Vec<Peer>,
     next_peer: usize,
-    /// No other peer is asked before an answer or this time.
+    /// Timeout of the pending request; 0 if none is pending.
     pending_until_ms: u64,
     pub lent: Vec<Loan>,
     pub borrowed: Vec<Loan>,
 }
 
 impl Lending {
-    /// Takes the failure domain's instances; `me` begins with the one after it.
+    /// Sets the peers. The first to be asked is the one that follows `me`.
     pub fn set_members(&mut self, me: &str, members: &[String]) {
         let position = members.iter().position(|member| member == me);
         let (before, after) = members.split_at(position.unwrap_or(0));
@@ -91,7 +91,7 @@
         self.next_peer = 0;
     }
 
-    /// The peer to ask for how many slots, if one may be asked now.
+    /// The peer and number of slots of the next request, if one may be sent now.
     pub fn next_request(&mut self, now_ms: u64, tasks_queued: u64) -> Option<(Arc<str>, u32)> {
         if now_ms < self.pending_until_ms {
             return None;
@@ -105,7 +105,7 @@
         Some((Arc::clone(&self.peers[chosen].name), slots))
     }
 
-    /// A peer answered; one that lent nothing is left alone for a while.
+    /// Records a peer's answer; backs off from a peer that lent nothing.
     pub fn record_answer(&mut self, now_ms: u64, lender: &str, lent: bool) {
         self.pending_until_ms = 0;
         let Some(peer) = self.peer(lender) else {
@@ -120,7 +120,7 @@
         }
     }
 
-    /// A peer asked: it has no free slot itself.
+    /// Delays the next request to a peer that requests slots itself.
     pub fn record_request_from(&mut self, now_ms: u64, borrower: &str) {
         if let Some(peer) = self.peer(borrower) {
             peer.next_request_ms = peer.next_request_ms.max(now_ms + BACKOFF_MIN_MS);
@@ -131,7 +131,7 @@
         self.peers.iter_mut().find(|peer| *peer.name == *name)
     }
 
-    /// Notes slots lent for `loan_ms`.
+    /// Records a slot lent for `loan_ms`.
     pub fn lend(&mut self, now_ms: u64, borrower: &str, worker: WorkerId, loan_ms: u64) {
         self.lent.push(Loan {
             peer: borrower.into(),
@@ -142,7 +142,8 @@
         });
     }
 
-    /// Takes up to `slots` of a worker back from a borrower; tells how many.
+    /// Ends loans of up to `slots` slots of a worker to a borrower; returns the
+    /// number of slots.
     pub fn reclaim(&mut self, borrower: &str, worker: WorkerId, slots: u32) -> u32 {
         let mut left = slots;
         for loan in &mut self.lent {
@@ -156,7 +157,7 @@
         slots - left
     }
 
-    /// The loans whose borrower has returned nothing for too long.
+    /// Removes the loans whose slots were not returned in time.
     pub fn take_overdue(&mut self, now_ms: u64) -> Vec<Loan> {
         let is_overdue = |loan: &mut Loan| loan.until_ms <= now_ms;
         self.lent.extract_if(.., is_overdue).collect()
--- a/crates/core/src/engine/loans.rs
+++ b/crates/core/src/engine/loans.rs
@@ -1,4 +1,4 @@
-//! The engine's part in loans of slots: pools by service, workers by name.
+//! Loans of slots: resolves service and worker names for the pools.
 
 use std::sync::Arc;
 
@@ -8,8 +8,9 @@
 use crate::time::Now;
 
 impl Engine {
-    /// Returns idle borrowed slots and asks for those that lack; to be called
-    /// as often as [`Self::tick`], by an instance that has peers.
+    /// Returns idle borrowed slots and requests loans for queued tasks.
+    ///
+    /// An instance with peers calls this as often as [`Self::tick`].
     pub fn balance_slots(&self, now: Now, out: &mut Vec<Command>) -> Vec<SlotMessage> {
         let registry = self.registry();
         let mut messages = Vec::new();
@@ -24,7 +25,8 @@
         messages
     }
 
-    /// Answers a peer that asks for slots; nothing is lent while tasks wait.
+    /// Answers a peer's request for slots; empty while tasks of the service are
+    /// queued here.
     pub fn lend_slots(
         &self,
         now: Now,
@@ -39,7 +41,7 @@
         pool.lock().lend(now, borrower, slots)
     }
 
-    /// Takes a peer's answer, which may lend nothing.
+    /// Processes a peer's answer to a request; `lent` may be empty.
     pub fn borrow_slots(
         &self,
         now: Now,
@@ -61,7 +63,7 @@
         pool.lock().borrow(now, lender, known, loan_ms, out);
     }
 
-    /// Takes back what a borrower returns.
+    /// Takes back slots that a borrower returned.
     pub fn reclaim_slots(
         &self,
         now: Now,
--- a/crates/core/src/engine/placement.rs
+++ b/crates/core/src/engine/placement.rs
@@ -1,11 +1,11 @@
-//! Draws among workers, for the placement policies that share every slot.
+//! Pseudorandom choice of workers, for the random placement policies.
 
 /// Odd constant of Weyl's sequence, from SplitMix64 (Steele et al., 2014).
 const WEYL_STEP: u64 = 0x9e37_79b9_7f4a_7c15;
 
-/// An element of `choices` that is `allowed`, decided by `draw` alone.
+/// Picks an allowed element of `choices`, determined by `draw`.
 ///
-/// Looks on from the place drawn until it finds one.
+/// Searches from the drawn index on, wrapping around.
 pub(crate) fn pick<T: Copy>(draw: u64, choices: &[T], allowed: impl Fn(T) -> bool) -> Option<T> {
     if choices.is_empty() {
         return None;
@@ -16,7 +16,7 @@
     in_turn.find(|choice| allowed(*choice))
 }
 
-/// Finaliser of SplitMix64: spreads consecutive numbers evenly.
+/// Finaliser of SplitMix64; spreads consecutive numbers evenly.
 fn mix(draw: u64) -> u64 {
     let mut mixed = draw.wrapping_mul(WEYL_STEP);
     mixed = (mixed ^ (mixed >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
--- a/crates/core/src/engine/pool.rs
+++ b/crates/core/src/engine/pool.rs
@@ -27,17 +27,18 @@
 use super::worker_set::{WorkerAssignment, WorkerSet};
 use crate::time::Now;
 
-/// Bits of a task id that count placements; the rest name the pool.
+/// Low bits of a task id that number the placements; the high bits are the pool
+/// number.
 const TASK_COUNTER_BITS: u32 = 48;
-/// Deadlines kept of ended jobs before they are cleared out.
+/// Number of ended jobs' deadlines kept before the heap is cleaned up.
 const STALE_DEADLINES_MAX: usize = 1024;
 
-/// One service's pool; its number is part of its task ids.
+/// The pool of one service.
 pub(crate) struct Pool {
     state: Mutex<PoolState>,
 }
 
-/// What the service's declaration says about its tasks.
+/// The parameters of a service's tasks, from its declaration.
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) struct ServiceParams {
     pub path: Arc<str>,
@@ -55,7 +56,7 @@
     }
 }
 
-/// A placement that is out.
+/// A running placement of a task.
 #[derive(Clone, Copy, Debug)]
 struct Placement {
     job: JobId,
@@ -66,8 +67,8 @@
     started_ms: u64,
 }
 
-/// What a pool's lock guards.
 pub(crate) struct PoolState {
+    /// High bits of this pool's task ids.
     number: u64,
     settings: Arc<EngineSettings>,
     params: ServiceParams,
@@ -79,7 +80,7 @@
     placements: HashMap<TaskId, Placement>,
     deadlines: BinaryHeap<Reverse<(u64, JobId)>>,
     run_times: RunTimes,
-    /// When a result last came.
+    /// Time of the last result.
     last_done_ms: u64,
     retries: RetryBudget,
     last_placement: u64,
@@ -87,7 +88,6 @@
 }
 
 impl Pool {
-    /// An empty pool.
     pub fn new(number: u64, settings: Arc<EngineSettings>, params: ServiceParams) -> Self {
         let workers = WorkerSet::new(settings.placement.policy, settings.workers.clone());
         let state = PoolState {
@@ -112,7 +112,7 @@
         }
     }
 
-    /// Locks the pool; a job shard may be locked before it, never after.
+    /// Locks the pool. Lock order: a job table shard before a pool.
     pub fn lock(&self) -> MutexGuard<'_, PoolState> {
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
@@ -124,7 +124,7 @@
 }
 
 impl PoolState {
-    /// Takes the service's declaration and its workers with shares.
+    /// Applies the service's declaration and its workers with their shares.
     pub fn configure(
         &mut self,
         now: Now,
@@ -141,18 +141,18 @@
         self.dispatch(now, out);
     }
 
-    /// The service is no longer declared: nothing starts any more.
+    /// Stops new tasks, because the service is no longer declared.
     pub fn undeclare(&mut self, now: Now, out: &mut Vec<Command>) {
         let params = self.params.clone();
         self.configure(now, params, WorkerAssignment::default(), out);
     }
 
-    /// Tasks done of a job, or `None` if it just ended.
+    /// Number of a job's tasks that are done; `None` if the job has ended.
     pub fn tasks_done(&self, job: JobId) -> Option<u32> {
         self.jobs.get(job).map(|active| active.done)
     }
 
-    /// Ends a job at its caller's wish, or `None` if it just ended.
+    /// Cancels a job; `None` if it has ended already.
     pub fn cancel(&mut self, now: Now, job: JobId, out: &mut Vec<Command>) -> Option<EndedJob> {
         let detail = "the caller cancelled the job".to_owned();
         let ended =
@@ -162,7 +162,7 @@
         Some(ended)
     }
 
-    /// Ends jobs whose deadline has passed, and starts what has a slot.
+    /// Ends jobs whose deadline has passed and starts queued tasks.
     pub fn tick(&mut self, now: Now, out: &mut Vec<Command>) -> Vec<EndedJob> {
         let mut ended = Vec::new();
         while let Some(Reverse((deadline_ms, job))) = self.deadlines.peek().copied() {
@@ -182,7 +182,7 @@
         ended
     }
 
-    /// Keeps the heap in proportion to the jobs; constant time amortised.
+    /// Bounds the heap to a multiple of the jobs, in amortised constant time.
     fn clear_stale_deadlines(&mut self) {
         if self.deadlines.len() > 2 * self.jobs.len() + STALE_DEADLINES_MAX {
             let jobs = &self.jobs;
@@ -191,12 +191,10 @@
         }
     }
 
-    /// A worker as seen here.
     pub fn worker_health(&self, now: Now, id: WorkerId) -> Option<WorkerHealth> {
         self.workers.health(now, self.run_times.mean_log2(), id)
     }
 
-    /// All workers as seen here.
     pub fn service_health(&self) -> ServiceHealth {
         ServiceHealth {
             workers: self.workers.eligible_workers() as u32,
@@ -205,7 +203,6 @@
         }
     }
 
-    /// Counters and sizes of this pool.
     pub fn stats(&self) -> EngineStats {
         EngineStats {
             jobs_running: self.jobs.len() as u64,
--- a/crates/core/src/engine/pool/admit.rs
+++ b/crates/core/src/engine/pool/admit.rs
@@ -1,4 +1,4 @@
-//! Admission of a job to its pool.
+//! Admission of jobs to a pool.
 
 use std::cmp::Reverse;
 use std::sync::Arc;
@@ -16,18 +16,19 @@
 use crate::key::JobKey;
 use crate::time::Now;
 
-/// How many times its own size a job may be passed by smaller ones.
+/// A job's rank is its arrival time plus its size times this factor, which limits
+/// how long smaller jobs can overtake it.
 const SIZE_WEIGHT: f64 = 64.0;
-/// Time without a result after which an idle pool's estimates are not trusted.
+/// Time without a result after which the run time estimates are stale.
 const STALE_MS: u64 = 1000;
-/// How wrong an untrusted estimate may be.
+/// Assumed error factor of a stale estimate.
 const STALE_ERROR_FACTOR: f64 = 10.0;
-/// Share of jobs for which the longest task may exceed its estimate.
+/// Share of jobs whose longest task may exceed its estimated run time.
 const LATE_SHARE: f64 = 0.05;
-/// The median: a job as likely to exceed it as not.
+/// Share of jobs that exceed the median.
 const MEDIAN_SHARE: f64 = 0.5;
 
-/// A job's place in the queue, before it is admitted.
+/// Size and queue position of a job that is not yet admitted.
 #[derive(Clone, Copy, Debug)]
 struct JobPlan {
     tasks: u32,
@@ -37,7 +38,7 @@
 }
 
 impl PoolState {
-    /// Refuses a job, or queues its tasks and starts what has a slot.
+    /// Refuses a job, or queues its tasks and starts as many as there are slots.
     pub fn admit(
         &mut self,
         now: Now,
@@ -145,7 +146,7 @@
         late_ms.map_or(Ok(()), |late_ms| Err(refusal::overload(late_ms, key)))
     }
 
-    /// What the job would take with every slot free.
+    /// Estimated time to run the job's tasks if all slots were free.
     fn ideal_ms(&mut self, capacity: Capacity, team: TeamIndex, tasks: u32) -> f64 {
         let slots = self.teams.get(team).usable_slots(capacity.slots);
         let free = Capacity {
@@ -156,7 +157,7 @@
         free.wait_ms(f64::from(tasks)) + self.run_times.longest_of_ms(tasks, MEDIAN_SHARE)
     }
 
-    /// How late this job or one behind it would be.
+    /// How late this job, or a job behind it, would be; `None` if none is late.
     fn late_ms(
         &mut self,
         now: Now,
--- a/crates/core/src/engine/pool/lend.rs
+++ b/crates/core/src/engine/pool/lend.rs
@@ -1,4 +1,4 @@
-//! Slots lent to and borrowed from the failure domain's other instances.
+//! Slots lent to and borrowed from other instances of the failure domain.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -11,11 +11,10 @@
 use crate::engine::lending::{Loan, SlotMessageBody, WorkerSlots};
 use crate::time::Now;
 
-/// What to tell which peer.
+/// A peer's name and the message to it.
 pub(crate) type PeerMessage = (Arc<str>, SlotMessageBody);
 
 impl PoolState {
-    /// Takes the failure domain's instances.
     pub fn set_members(&mut self, me: &str, members: &[String]) {
         self.lending.set_members(me, members);
     }
@@ -25,7 +24,8 @@
         placement.lending && placement.policy == PlacementPolicy::OwnedSlots
     }
 
-    /// Returns what is idle, takes back what is overdue, asks for what lacks.
+    /// Reclaims overdue slots, returns idle borrowed ones, and requests a loan if
+    /// tasks are queued and no worker is ready.
     pub fn balance(&mut self, now: Now, out: &mut Vec<Command>) -> Vec<PeerMessage> {
         let run_log2 = self.run_times.mean_log2();
         for loan in self.lending.take_overdue(now.mono_ms) {
@@ -43,7 +43,7 @@
         messages
     }
 
-    /// Closes the loans whose time is over, and returns slots without a task.
+    /// Expires loans whose time is over and returns borrowed slots that are idle.
     fn return_idle_slots(&mut self, now: Now) -> Vec<PeerMessage> {
         let run_log2 = self.run_times.mean_log2();
         let has_queued = self.queue.first().is_some();
@@ -82,7 +82,8 @@
             .collect()
     }
 
-    /// Lends up to `slots` free slots, half of the free ones at most.
+    /// Lends up to `slots` slots, but at most half of the free ones; none while
+    /// tasks are queued.
     pub fn lend(&mut self, now: Now, borrower: &str, slots: u32) -> Vec<WorkerSlots> {
         self.lending.record_request_from(now.mono_ms, borrower);
         if !self.is_lending_enabled() || self.queue.first().is_some() {
@@ -106,7 +107,7 @@
             .collect()
     }
 
-    /// Takes a peer's answer and starts tasks on what it lent.
+    /// Records a peer's answer and starts queued tasks on the slots that it lent.
     pub fn borrow(
         &mut self,
         now: Now,
@@ -134,7 +135,7 @@
         self.dispatch(now, out);
     }
 
-    /// Takes returned slots and starts queued tasks on them.
+    /// Reclaims returned slots and starts queued tasks on them.
     pub fn reclaim(
         &mut self,
         now: Now,
--- a/crates/core/src/engine/pool/outcome.rs
+++ b/crates/core/src/engine/pool/outcome.rs
@@ -1,4 +1,4 @@
-//! Outcomes of placements, and the ends of jobs that follow from them.
+//! Handling of placement outcomes and the job ends that result.
 
 use bytes::Bytes;
 
@@ -11,7 +11,7 @@
 use crate::time::Now;
 
 impl PoolState {
-    /// Takes a placement's outcome; gives the job if that ended it.
+    /// Processes a placement's outcome; returns the job if this ended it.
     pub fn task_finished(
         &mut self,
         now: Now,
@@ -46,8 +46,8 @@
             .finish(now.mono_ms, run_log2, placement.worker, observation);
     }
 
-    /// Takes a run time; once they are trusted, what teams were charged by
-    /// declared ones is put right.
+    /// Records a run time. When enough are measured, rescales the teams' charges,
+    /// which were based on the declared run time.
     fn record_run_time(&mut self, now: Now, run_ms: u64) {
         let (was_trusted, mean_ms) = (self.run_times.is_trusted(), self.run_times.mean_ms());
         self.run_times.record(run_ms);
@@ -93,7 +93,7 @@
         })
     }
 
-    /// Queues a refused task again, within the bounds on retries.
+    /// Queues a refused task again, within the limits on attempts and retries.
     fn task_refused(&mut self, placement: Placement, detail: String) -> Option<EndedJob> {
         if placement.attempt >= self.settings.placement.attempts_max {
             return self.fail(placement.job, FailureReason::TaskRefused, detail);
@@ -116,7 +116,7 @@
         None
     }
 
-    /// Ends a job as failed, or does nothing if it has ended.
+    /// Ends a job as failed; `None` if it has ended already.
     pub(super) fn fail(
         &mut self,
         job: JobId,
@@ -128,7 +128,7 @@
         Some(ended)
     }
 
-    /// Ends a job without a whole answer; its queued tasks go with it.
+    /// Ends a job without all results and drops its queued tasks.
     pub(super) fn end_incomplete(
         &mut self,
         job: JobId,
--- a/crates/core/src/engine/pool/place.rs
+++ b/crates/core/src/engine/pool/place.rs
@@ -10,7 +10,7 @@
 use crate::time::Now;
 
 impl PoolState {
-    /// Starts queued tasks for as long as a worker has a free slot.
+    /// Starts queued tasks while a worker has a free slot.
     pub(super) fn dispatch(&mut self, now: Now, out: &mut Vec<Command>) {
         self.workers
             .expire_timers(now.mono_ms, self.run_times.mean_log2());
@@ -28,7 +28,7 @@
         }
     }
 
-    /// Sets a job aside whose team has all the slots it may have.
+    /// Takes a job out of the queue if its team uses all the slots that it may.
     fn park_if_at_slots_max(&mut self, job: JobId) -> bool {
         let Some(active) = self.jobs.get_mut(job) else {
             return false;
@@ -43,7 +43,7 @@
         true
     }
 
-    /// Queues the first job that a team has set aside, if it may go on.
+    /// Queues a team's first parked job if the team may use another slot.
     pub(super) fn unpark(&mut self, team: TeamIndex) {
         let team = self.teams.get(team);
         if team.is_at_slots_max() {
--- a/crates/core/src/engine/queue.rs
+++ b/crates/core/src/engine/queue.rs
@@ -1,30 +1,30 @@
-//! The order in which jobs of one service get slots.
+//! Priority queue of the jobs of one service.
 
 use std::collections::{BTreeMap, BTreeSet};
 
 use super::job::JobId;
 
-/// Width of a level in milliseconds of rank.
+/// Width of a bucket in milliseconds of rank.
 const BUCKET_MS: u64 = 32;
 
-/// Jobs with queued tasks; a job leaves with all its tasks in one step.
+/// Jobs with queued tasks, ordered by rank. Removing a job removes all its tasks
+/// in one step.
 #[derive(Debug, Default)]
 pub(crate) struct JobQueue {
     jobs: BTreeSet<(u64, JobId)>,
     buckets: BTreeMap<u64, RankBucket>,
 }
 
-/// What is queued within a span of ranks, for estimates.
+/// Summary of the tasks queued within a range of ranks, for estimates.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct RankBucket {
-    /// Tasks queued.
     pub tasks: u64,
-    /// Earliest time by which a job here must have started its last task.
+    /// Earliest of the jobs' latest start times; kept when a job is removed.
     pub latest_start_ms: u64,
 }
 
 impl JobQueue {
-    /// Adds `tasks` tasks of a job, which may be queued already.
+    /// Adds `tasks` tasks of a job; the job may already be in the queue.
     pub fn add(&mut self, rank_ms: u64, job: JobId, tasks: u32, latest_start_ms: u64) {
         self.jobs.insert((rank_ms, job));
         let bucket = self
@@ -38,7 +38,7 @@
         bucket.latest_start_ms = bucket.latest_start_ms.min(latest_start_ms);
     }
 
-    /// Takes one task of a job; the `last` takes the job out.
+    /// Removes one task of a job, and the job with its `last` task.
     pub fn take(&mut self, rank_ms: u64, job: JobId, last: bool) {
         self.reduce_bucket(rank_ms, 1);
         if last {
@@ -46,7 +46,7 @@
         }
     }
 
-    /// Removes a job and with it its `tasks` queued tasks.
+    /// Removes a job and its `tasks` queued tasks.
     pub fn remove(&mut self, rank_ms: u64, job: JobId, tasks: u32) {
         if self.jobs.remove(&(rank_ms, job)) {
             self.reduce_bucket(rank_ms, tasks);
@@ -64,18 +64,18 @@
         }
     }
 
-    /// The job whose task is placed next.
+    /// The job whose task is to be placed next.
     pub fn first(&self) -> Option<JobId> {
         self.jobs.first().map(|(_, job)| *job)
     }
 
-    /// Tasks queued in levels that go before one of rank `rank_ms`, or with it.
+    /// Number of tasks queued in the buckets up to the one of `rank_ms`.
     pub fn tasks_up_to(&self, rank_ms: u64) -> u64 {
         let buckets = self.buckets.range(..=rank_ms / BUCKET_MS);
         buckets.map(|(_, bucket)| bucket.tasks).sum()
     }
 
-    /// The levels that a job of rank `rank_ms` would hold up.
+    /// The buckets that a job of rank `rank_ms` would delay.
     pub fn buckets_after(&self, rank_ms: u64) -> impl Iterator<Item = &RankBucket> {
         let buckets = self.buckets.range(rank_ms / BUCKET_MS + 1..);
         buckets.map(|(_, bucket)| bucket)
--- a/crates/core/src/engine/refusal.rs
+++ b/crates/core/src/engine/refusal.rs
@@ -1,14 +1,14 @@
-//! The refusals that the engine gives, each with its verdict.
+//! Constructors of the engine's refusals.
 
 use super::command::{Refusal, RefusalReason};
 use crate::key::JobKey;
 use crate::verdict::Verdict;
 
-/// Shortest wait before coming back, in milliseconds.
+/// Minimum retry delay.
 const RETRY_MIN_MS: u64 = 100;
-/// Wait before coming back to an instance without workers, in milliseconds.
+/// Retry delay for an instance without workers.
 const RETRY_NO_WORKERS_MS: u64 = 1000;
-/// Wait before coming back to an instance whose memory is full.
+/// Retry delay for an instance that remembers as many keys as it may.
 const RETRY_MEMORY_MS: u64 = 5000;
 
 fn not_run(reason: RefusalReason, detail: String, retry_after_ms: u64) -> Refusal {
@@ -20,7 +20,7 @@
     }
 }
 
-/// `base_ms` and up to half as much again, the same for a key at every call.
+/// `base_ms` plus a jitter of up to half of it, which depends only on the key.
 pub(crate) fn jittered_ms(base_ms: u64, key: &JobKey) -> u64 {
     let base_ms = base_ms.max(RETRY_MIN_MS);
     base_ms + key.hash() % (base_ms / 2)
@@ -89,7 +89,8 @@
     not_run(RefusalReason::NoWorkers, detail, RETRY_NO_WORKERS_MS)
 }
 
-/// No job of the key is known; if the key expired, it may have been forgotten.
+/// No job of the key is known. If the key is `expired`, its job may have been
+/// forgotten.
 pub(crate) fn unknown_job(expired: bool) -> Refusal {
     Refusal {
         reason: RefusalReason::UnknownJob,
@@ -102,28 +103,28 @@
     }
 }
 
-/// The job, or an admitted one, would be `excess_ms` late.
+/// The job, or one already admitted, would miss its deadline by `excess_ms`.
 pub(crate) fn overload(excess_ms: f64, key: &JobKey) -> Refusal {
     let detail = "the job cannot be done by its deadline; come back later or allow more time";
     let retry_after_ms = jittered_ms(excess_ms.ceil() as u64, key);
     not_run(RefusalReason::Overload, detail.to_owned(), retry_after_ms)
 }
 
-/// Even free slots take `ideal_ms`.
+/// The job takes `ideal_ms` even if all slots are free.
 pub(crate) fn impossible(ideal_ms: f64) -> Refusal {
     let ideal_ms = ideal_ms.ceil();
     let detail = format!("the tasks need {ideal_ms} ms even on free slots; allow more time");
     not_run(RefusalReason::Impossible, detail, 0)
 }
 
-/// The team has as many tasks queued as it may.
+/// The team's limit of queued tasks is reached; `wait_ms` is the estimated wait.
 pub(crate) fn quota(wait_ms: f64, key: &JobKey) -> Refusal {
     let detail = "the team has as many tasks queued as its quota allows".to_owned();
     let retry_after_ms = jittered_ms(wait_ms.ceil() as u64, key);
     not_run(RefusalReason::Quota, detail, retry_after_ms)
 }
 
-/// The service has as many tasks queued as it may.
+/// The service's limit of queued tasks is reached.
 pub(crate) fn queue_full(wait_ms: f64, key: &JobKey) -> Refusal {
     let detail = "the service's queue is full".to_owned();
     let retry_after_ms = jittered_ms(wait_ms.ceil() as u64, key);
--- a/crates/core/src/engine/registry.rs
+++ b/crates/core/src/engine/registry.rs
@@ -1,4 +1,4 @@
-//! What is declared, and the pools that serve it.
+//! The declarations in force and the pools of the declared services.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -16,10 +16,10 @@
 use crate::config::ConfigSnapshot;
 use crate::time::Now;
 
-/// Leaves room for counting up from the seed.
+/// Keeps the high bits of the seed clear, so that the draw counter cannot overflow.
 const DRAW_SEED_SHIFT: u32 = 8;
 
-/// Declarations in force and one pool for every service ever declared.
+/// Declarations in force, with one pool for every service ever declared.
 #[derive(Default)]
 pub(crate) struct Registry {
     config: ConfigSnapshot,
@@ -29,35 +29,33 @@
     by_service: HashMap<Arc<str>, usize>,
     worker_ids: HashMap<Arc<str>, WorkerId>,
     last_worker_id: u32,
-    /// Whether this instance joins others that may be using the workers.
+    /// Whether other instances may still use the slots that this one gains.
     joining: bool,
 }
 
 impl Registry {
-    /// The pool of a declared service.
+    /// The pool of a service; `None` if the service is not declared.
     pub fn pool(&self, service: &str) -> Option<&Arc<Pool>> {
         self.config.services.get(service)?;
         self.pools.get(*self.by_service.get(service)?)
     }
 
-    /// The pool of a number.
     pub fn pool_by_number(&self, number: usize) -> Option<&Arc<Pool>> {
         self.pools.get(number)
     }
 
-    /// All pools.
     pub fn pools(&self) -> &[Arc<Pool>] {
         &self.pools
     }
 
-    /// The pool and id of a declared worker that this instance knows.
+    /// The pool and id of a declared worker of this failure domain.
     pub fn worker_pool(&self, name: &str) -> Option<(&Arc<Pool>, WorkerId)> {
         let declared = self.config.backend_servers.get(name)?;
         let pool = self.pool(&declared.spec.service)?;
         Some((pool, *self.worker_ids.get(name)?))
     }
 
-    /// A team's terms, with this instance's part of its bounds.
+    /// A team's declaration, with its limits reduced to this instance's share.
     pub fn team(&self, team: &str) -> Option<TeamSpec> {
         let spec = &self.config.teams.get(team)?.spec;
         let members = self.members.len() as u32;
@@ -69,7 +67,6 @@
         })
     }
 
-    /// Takes new declarations.
     pub fn set_config(
         &mut self,
         settings: &Arc<EngineSettings>,
@@ -85,7 +82,6 @@
         self.joining = false;
     }
 
-    /// Takes the failure domain's instances.
     pub fn set_members(
         &mut self,
         settings: &Arc<EngineSettings>,
@@ -152,8 +148,8 @@
         pool
     }
 
-    /// Workers of this failure domain by service, each with this instance's
-    /// share of its slots.
+    /// Workers of this failure domain by service, each with the number of its
+    /// slots assigned to this instance.
     fn workers_by_service(
         &mut self,
         settings: &EngineSettings,
@@ -184,13 +180,12 @@
             .collect()
     }
 
-    /// Services with their pools.
     pub fn services(&self) -> impl Iterator<Item = (&Arc<str>, &Arc<Pool>)> {
         let services = self.by_service.iter();
         services.map(|(service, number)| (service, &self.pools[*number]))
     }
 
-    /// A worker of this failure domain, by name.
+    /// A declared worker of this failure domain.
     pub fn worker(&self, name: &str) -> Option<(WorkerId, Worker)> {
         let id = *self.worker_ids.get(name)?;
         let (name, declared) = self.config.backend_servers.get_key_value(name)?;
--- a/crates/core/src/engine/remembered.rs
+++ b/crates/core/src/engine/remembered.rs
@@ -1,4 +1,4 @@
-//! Memory of ended jobs that passes from instance to instance.
+//! Transfer of ended jobs between instances.
 
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
@@ -10,32 +10,33 @@
 use crate::key::JobKey;
 use crate::time::Now;
 
-/// An ended job as one instance hands it to another.
+/// An ended job as transferred to another instance.
 #[derive(Clone, Debug)]
+#[expect(missing_docs, reason = "the field explains itself")]
 pub struct RememberedJob {
-    /// Its key.
     pub key: JobKey,
-    /// Hash of its body.
+    /// Hash of the submission's body.
     pub fingerprint: u64,
-    /// How it ended; always [`JobAnswer::Known`].
+    /// Always [`JobAnswer::Known`].
     pub answer: JobAnswer,
 }
 
-/// All that an instance remembers.
+/// The ended jobs that an instance remembers.
 #[derive(Clone, Debug, Default)]
 pub struct RememberedJobs {
-    /// Ended jobs, newest keys first.
+    /// Sorted by issue time, newest first.
     pub jobs: Vec<RememberedJob>,
-    /// Keys issued before this time may have been forgotten, Unix milliseconds.
+    /// Keys issued before this time may be missing, Unix milliseconds.
     pub from_ms: u64,
 }
 
 impl Engine {
-    /// All that is remembered, for the instances that answer for these keys
-    /// next; `None` while new keys are taken or a job runs.
+    /// Returns all remembered jobs, for the instances that will own these keys.
+    /// `None` unless the instance is leaving and no job runs.
     ///
-    /// After `Some`, no key is admitted any more: each shard is read under its
-    /// lock, and whoever admits checks under it that the instance stays.
+    /// After `Some`, no key is admitted any more: admission checks under the
+    /// shard lock whether the instance is leaving, and the shards are read under
+    /// the same locks.
     pub fn remembered_jobs(&self, now: Now) -> Option<RememberedJobs> {
         if !self.leaving.load(Ordering::Acquire) {
             return None;
@@ -52,7 +53,8 @@
         Some(remembered)
     }
 
-    /// Remembers a job that another instance ran; false where there is no room.
+    /// Adds a job that another instance ran; false if the limit of keys is
+    /// reached.
     pub fn remember(&self, now: Now, job: RememberedJob) -> bool {
         let RememberedJob {
             key,
@@ -80,8 +82,10 @@
         true
     }
 
-    /// Answers for a key that this instance may never start: from memory, or
-    /// with `not_found`. A submission gives its body's `fingerprint`.
+    /// Answers a request for a key that this instance must never start: with
+    /// the remembered job, or with `not_found`.
+    ///
+    /// A submission passes its body's `fingerprint`; other requests pass `None`.
     pub fn answer_without_admission(
         &self,
         now: Now,
--- a/crates/core/src/engine/retry_budget.rs
+++ b/crates/core/src/engine/retry_budget.rs
@@ -1,13 +1,13 @@
-//! How many placements may be repeated, as a share of first ones.
+//! Limit on retries as a percentage of first placements.
 
-/// Hundredths of a retry allowed before any first start.
+/// Initial tokens, for retries before many first starts.
 const INITIAL_CENTITOKENS: u64 = 10 * CENTITOKENS_PER_RETRY;
-/// Most hundredths of a retry saved up.
+/// Capacity of the bucket.
 const CENTITOKENS_MAX: u64 = 200 * CENTITOKENS_PER_RETRY;
-/// Hundredths in one retry.
+/// Cost of one retry.
 const CENTITOKENS_PER_RETRY: u64 = 100;
 
-/// A token bucket that first starts fill and retries empty.
+/// A token bucket, filled by first starts and drained by retries.
 #[derive(Debug)]
 pub(crate) struct RetryBudget {
     centitokens: u64,
@@ -15,7 +15,7 @@
 }
 
 impl RetryBudget {
-    /// Allows `percent` retries for every hundred first starts.
+    /// Allows `percent` retries per hundred first starts; none if it is 0.
     pub fn new(percent: u32) -> Self {
         Self {
             centitokens: INITIAL_CENTITOKENS,
@@ -23,12 +23,12 @@
         }
     }
 
-    /// Counts a first start.
+    /// Adds the tokens of a first start.
     pub fn first_start(&mut self) {
         self.centitokens = (self.centitokens + self.percent).min(CENTITOKENS_MAX);
     }
 
-    /// Takes a retry if one is left.
+    /// Takes the tokens of one retry; false if there are too few.
     pub fn try_retry(&mut self) -> bool {
         let allowed = self.percent > 0 && self.centitokens >= CENTITOKENS_PER_RETRY;
         if allowed {
--- a/crates/core/src/engine/run_times.rs
+++ b/crates/core/src/engine/run_times.rs
@@ -1,23 +1,23 @@
-//! Run times of a service's tasks as measured, for estimates.
+//! Measured run times of a service's tasks, for estimates.
 //!
-//! Declared run times only stand in until enough tasks were measured: they are
-//! often wrong by a factor of ten either way.
+//! The declared run time is used only until enough tasks are measured, because it
+//! can be wrong by a factor of ten.
 
-/// Measured tasks from which the figures are trusted.
+/// Number of samples from which the measurements replace the declared run time.
 const TRUSTED_SAMPLES: u64 = 20;
-/// Weight of a new sample in the running mean, once there are many.
+/// Minimum weight of a new sample in the moving averages.
 const MEAN_GAIN: f64 = 0.01;
-/// Histogram buckets; four for each doubling, up to 65 s.
+/// Number of histogram buckets; covers up to 65 s.
 const BUCKETS: usize = 64;
-/// Buckets for each doubling of the run time.
+/// Buckets per doubling of the run time.
 const BUCKETS_PER_DOUBLING: f64 = 4.0;
-/// Growth of a sample's weight over the one before it; halves the weight of
-/// samples 700 tasks old.
+/// Growth of the weight from one sample to the next; samples lose half of their
+/// relative weight after 700 tasks.
 const WEIGHT_GROWTH: f64 = 1.001;
-/// Weight at which the histogram is scaled down.
+/// Weight above which the histogram is scaled down.
 const WEIGHT_MAX: f64 = 1e9;
 
-/// A running mean and a histogram that forgets.
+/// Moving averages and an exponentially decaying histogram.
 #[derive(Debug)]
 pub(crate) struct RunTimes {
     declared_ms: f64,
@@ -29,7 +29,6 @@
 }
 
 impl RunTimes {
-    /// Nothing measured; `declared_ms` stands in.
     pub fn new(declared_ms: u64) -> Self {
         let declared_ms = declared_ms.max(1) as f64;
         Self {
@@ -42,7 +41,7 @@
         }
     }
 
-    /// Takes a task's measured run time.
+    /// Records a measured run time.
     pub fn record(&mut self, run_ms: u64) {
         let run_ms = run_ms.max(1) as f64;
         self.samples += 1;
@@ -63,12 +62,12 @@
         self.next_weight /= WEIGHT_MAX;
     }
 
-    /// Takes a new declaration; measured run times stay.
+    /// Sets a new declared run time; the measurements are kept.
     pub fn declare(&mut self, declared_ms: u64) {
         self.declared_ms = declared_ms.max(1) as f64;
     }
 
-    /// Whether enough tasks were measured.
+    /// Whether enough run times were measured to use them.
     pub fn is_trusted(&self) -> bool {
         self.samples >= TRUSTED_SAMPLES
     }
@@ -81,13 +80,13 @@
         }
     }
 
-    /// Mean binary logarithm of the run times in milliseconds: what is typical,
-    /// whatever a few stragglers take.
+    /// Mean binary logarithm of the run times in milliseconds; robust against a
+    /// few stragglers.
     pub fn mean_log2(&self) -> f64 {
         self.mean_log2
     }
 
-    /// A run time that a share `quantile` of the tasks does not exceed.
+    /// Upper bound of the run time at `quantile`, from 0 to 1.
     pub fn quantile_ms(&self, quantile: f64) -> f64 {
         if !self.is_trusted() {
             return self.declared_ms;
@@ -104,8 +103,8 @@
         upper_ms(BUCKETS - 1)
     }
 
-    /// A run time that the longest of `tasks` tasks exceeds in no more than a
-    /// share `late` of the jobs.
+    /// Run time that the longest of `tasks` tasks exceeds in at most the share
+    /// `late` of the jobs.
     pub fn longest_of_ms(&self, tasks: u32, late: f64) -> f64 {
         let share_beyond = late / f64::from(tasks.max(1));
         self.quantile_ms(1.0 - share_beyond.max(0.001))
--- a/crates/core/src/engine/settings.rs
+++ b/crates/core/src/engine/settings.rs
@@ -2,30 +2,28 @@
 
 use trefoil_schema::settings::{JobSettings, PlacementSettings, Settings, WorkerSettings};
 
-/// What the engine takes from an instance's settings.
+/// The part of an instance's settings that the engine uses.
 #[derive(Clone, Debug, PartialEq)]
+#[expect(missing_docs, reason = "fields explain themselves")]
 pub struct EngineSettings {
-    /// Failure domain whose workers get this instance's tasks.
+    /// Failure domain whose workers run this instance's tasks.
     pub failure_domain: String,
-    /// Bounds on jobs and on the memory of finished ones.
+    /// Limits on jobs and on the finished jobs that are remembered.
     pub jobs: JobSettings,
-    /// How tasks are admitted, ordered and placed.
     pub placement: PlacementSettings,
-    /// Bounds on failing workers.
     pub workers: WorkerSettings,
-    /// Order of queued jobs.
     pub order: QueueOrder,
-    /// Whether jobs that cannot meet their deadline are refused at once.
+    /// Whether jobs that cannot meet their deadline are refused on submission.
     pub admission: bool,
 }
 
 /// Order of queued jobs.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum QueueOrder {
-    /// Small and urgent jobs first, shared out between teams.
+    /// Small and urgent jobs first, with fair sharing between teams.
     #[default]
     Priority,
-    /// First come, first served: the baseline.
+    /// First in, first out; the baseline for comparisons.
     Fifo,
 }
 
--- a/crates/core/src/engine/shares.rs
+++ b/crates/core/src/engine/shares.rs
@@ -1,14 +1,14 @@
-//! How a failure domain's instances divide the slots of its workers.
+//! Division of worker slots between the instances of a failure domain.
 //!
-//! Every instance computes the same division from the same two lists, without
-//! a message: slots are dealt round robin over the sorted members, each
-//! worker starting where the one before it stopped.
+//! All instances compute the same division from the same lists without
+//! communication. Slots are assigned round robin to the sorted members; each
+//! worker continues where the previous one stopped.
 
-/// The slots of each worker that `me` may use.
+/// Returns the number of slots of each worker assigned to `me`.
 ///
-/// `slots` holds the workers' slots in an order on which all members agree.
-/// Shares sum exactly to the slots over all members, and any two members'
-/// totals differ by at most one. An instance that is not listed has none.
+/// `slots` must have the same order on all members. The shares of all members
+/// add up to the slots, and the totals of any two members differ by at most one.
+/// An instance that is not a member gets none.
 pub fn divide_slots(slots: &[u32], me: &str, members: &[String]) -> Vec<u32> {
     let mut members: Vec<&str> = members.iter().map(String::as_str).collect();
     members.sort_unstable();
@@ -29,7 +29,7 @@
         .collect()
 }
 
-/// How many of the first `assigned` cards the player at `position` has.
+/// How many of the first `assigned` slots belong to the member at `position`.
 fn assigned_to(position: u64, count: u64, assigned: u64) -> u64 {
     (assigned + count - 1 - position) / count
 }
--- a/crates/core/src/engine/stats.rs
+++ b/crates/core/src/engine/stats.rs
@@ -1,52 +1,46 @@
-//! Counters of the engine, for metrics.
+//! Counters and gauges of the engine.
 
-/// What the engine holds and has counted since its start.
+/// Gauges, and counters since the start of the instance.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
+#[expect(missing_docs, reason = "fields explain themselves")]
 pub struct EngineStats {
-    /// Keys remembered, running and final.
+    /// Remembered keys of running and ended jobs.
     pub keys: u64,
-    /// Jobs admitted and not final.
+    /// Jobs admitted and not yet final.
     pub jobs_running: u64,
-    /// Tasks queued.
     pub tasks_queued: u64,
-    /// Placements out at workers.
+    /// Placements running on workers.
     pub tasks_running: u64,
     /// Bytes of results kept for resubmissions.
     pub results_bytes: u64,
-    /// Slots of workers that this instance may use.
+    /// Slots assigned to this instance, without borrowed ones.
     pub slots_owned: u64,
-    /// Workers ejected now.
+    /// Workers currently ejected or on probation.
     pub workers_ejected: u64,
-    /// Jobs admitted.
     pub jobs_admitted: u64,
-    /// Submissions refused.
     pub jobs_refused: u64,
-    /// Jobs that completed.
     pub jobs_complete: u64,
-    /// Jobs that failed, deadlines among them.
+    /// Jobs that failed, including those past their deadline.
     pub jobs_failed: u64,
-    /// Jobs that failed by their deadline.
     pub jobs_past_deadline: u64,
-    /// Jobs that were cancelled.
     pub jobs_cancelled: u64,
-    /// Submissions answered from memory or attached to a running job.
+    /// Resubmissions answered from a remembered or running job.
     pub jobs_replayed: u64,
-    /// Placements started, retries among them.
+    /// Placements started, including retries.
     pub tasks_started: u64,
-    /// Placements after a refusal of an earlier one.
+    /// Placements of tasks that a worker had refused.
     pub tasks_retried: u64,
-    /// Slots lent to other instances, each loan counted.
+    /// Slots lent to other instances, summed over all loans.
     pub slots_lent: u64,
-    /// Slots borrowed from other instances, each loan counted.
+    /// Slots borrowed from other instances, summed over all loans.
     pub slots_borrowed: u64,
-    /// Requests for slots that a peer answered with none.
+    /// Requests for slots that a peer answered without lending any.
     pub slots_refused: u64,
-    /// Outcomes that came after their job was final, or for no known placement.
+    /// Outcomes of unknown placements or of jobs that had already ended.
     pub outcomes_dropped: u64,
 }
 
 impl EngineStats {
-    /// Adds the figures of `other`, field by field.
     pub(crate) fn add(&mut self, other: &Self) {
         self.keys += other.keys;
         self.jobs_running += other.jobs_running;
--- a/crates/core/src/engine/teams.rs
+++ b/crates/core/src/engine/teams.rs
@@ -7,37 +7,37 @@
 
 use super::job::JobId;
 
-/// Head start over its fair share that a team has before others go first.
+/// How far a team may exceed its fair share before its jobs are ranked lower.
 const BURST_MS: f64 = 250.0;
 
-/// Position of a team; small, and the same for good.
+/// Stable index of a team.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct TeamIndex(usize);
 
-/// One team's use of the service here.
+/// One team's usage of the service on this instance.
 #[derive(Debug)]
 pub(crate) struct Team {
     weight: f64,
-    /// Most placements out at once from here; 0 sets no bound.
+    /// Maximum number of running placements; 0 means no limit.
     slots_max: u32,
-    /// Most tasks queued at once here; 0 sets no bound.
+    /// Maximum number of queued tasks; 0 means no limit.
     queued_tasks_max: u32,
     pub running: u32,
     pub queued: u32,
     jobs: u32,
-    /// Time up to which the team has used its fair share.
+    /// Virtual finish time: when the team's fair share will have served all the
+    /// jobs that it was charged for.
     virtual_finish_ms: f64,
-    /// Jobs that wait until the team is below its bound of slots.
+    /// Jobs that wait until the team runs fewer than `slots_max` tasks.
     pub parked: BTreeSet<(u64, JobId)>,
 }
 
 impl Team {
-    /// Whether the team has all the slots it may have.
     pub fn is_at_slots_max(&self) -> bool {
         self.slots_max > 0 && self.running >= self.slots_max
     }
 
-    /// Slots that the team may use, of `slots`.
+    /// Number of slots that the team may use, out of `slots`.
     pub fn usable_slots(&self, slots: f64) -> f64 {
         match self.slots_max {
             0 => slots,
@@ -45,23 +45,22 @@
         }
     }
 
-    /// Whether `tasks` more may be queued.
     pub fn can_queue(&self, tasks: u32) -> bool {
         self.queued_tasks_max == 0 || self.queued.saturating_add(tasks) <= self.queued_tasks_max
     }
 }
 
-/// All teams that ever used the service here.
+/// All teams that ever used the service on this instance.
 #[derive(Debug, Default)]
 pub(crate) struct Teams {
     teams: Vec<Team>,
     by_name: HashMap<Arc<str>, TeamIndex>,
-    /// Weight of the teams that have jobs.
+    /// Sum of the weights of the teams that have jobs.
     active_weight: f64,
 }
 
 impl Teams {
-    /// The team of a name, with its declared terms.
+    /// Adds a team or updates its declared weight and limits.
     pub fn declare(&mut self, name: &Arc<str>, spec: &TeamSpec) -> TeamIndex {
         let index = match self.by_name.get(name) {
             Some(index) => *index,
@@ -94,18 +93,17 @@
         index
     }
 
-    /// A team's use.
     pub fn get(&mut self, index: TeamIndex) -> &mut Team {
         &mut self.teams[index.0]
     }
 
-    /// How far a team is ahead of its fair share, in milliseconds.
+    /// How far a team is above its fair share, beyond `BURST_MS`, in milliseconds.
     pub fn lead_ms(&self, index: TeamIndex, now_ms: u64) -> f64 {
         let virtual_finish_ms = self.teams[index.0].virtual_finish_ms;
         (virtual_finish_ms - now_ms as f64 - BURST_MS).max(0.0)
     }
 
-    /// Charges a team for a job that takes all slots for `size_ms`.
+    /// Charges a team for a job that occupies all slots for `size_ms`.
     pub fn job_admitted(&mut self, index: TeamIndex, now_ms: u64, size_ms: f64) {
         let team = &mut self.teams[index.0];
         if team.jobs == 0 {
@@ -116,7 +114,7 @@
         team.virtual_finish_ms = from_ms + size_ms * self.active_weight / team.weight;
     }
 
-    /// Multiplies what every team is ahead by `ratio`.
+    /// Multiplies every team's outstanding charge by `ratio`.
     pub fn rescale(&mut self, now_ms: u64, ratio: f64) {
         let now_ms = now_ms as f64;
         for team in &mut self.teams {
@@ -125,7 +123,6 @@
         }
     }
 
-    /// Notes that one of a team's jobs is over.
     pub fn job_ended(&mut self, index: TeamIndex) {
         let team = &mut self.teams[index.0];
         team.jobs -= 1;
@@ -135,9 +132,9 @@
     }
 }
 
-/// An instance's part of a bound that holds for the failure domain: at least
-/// one, so that a small bound does not shut a team out of an instance; 0 means
-/// no bound.
+/// An instance's share of a limit on the whole failure domain. It is at least
+/// one, so that a small limit does not exclude a team from an instance; 0 means
+/// no limit.
 pub(crate) fn share_of_limit(limit: u32, position: u32, members: u32) -> u32 {
     if limit == 0 || members == 0 {
         return limit;
--- a/crates/core/src/engine/worker_set.rs
+++ b/crates/core/src/engine/worker_set.rs
@@ -1,4 +1,4 @@
-//! The workers of one service, and which of their slots this instance may use.
+//! The workers of one service and the slots that this instance may use.
 
 mod loans;
 
@@ -14,61 +14,61 @@
 use super::placement::pick;
 use crate::time::Now;
 
-/// Time after which a slot gained from another instance is taken to be free:
-/// nearly all tasks are shorter.
+/// Delay before a slot gained from another instance is used, so that most of
+/// that instance's running tasks finish first.
 const SHARE_GAIN_DELAY_MS: u64 = 1000;
 
 /// A worker as this instance sees it.
 #[derive(Debug)]
 pub(crate) struct WorkerState {
     pub worker: Worker,
-    /// Slots that this instance may use.
+    /// Slots assigned to this instance.
     pub share: u32,
-    /// Slots of the share that are lent to other instances.
+    /// Slots of the share lent to other instances.
     lent: u32,
-    /// Slots of other instances' shares that are lent to this one.
+    /// Slots borrowed from other instances' shares.
     borrowed: u32,
-    /// Slots of these whose loan is over: they get no new task.
+    /// Borrowed slots whose loan has expired; they get no new tasks.
     expired_borrowed: u32,
-    /// Until the other instances' tasks on slots just gained have finished.
+    /// Set while newly gained slots are not used yet.
     delayed_gain: Option<DelayedGain>,
-    /// Placements out from here.
+    /// Running placements of this instance.
     pub running: u32,
     health: Health,
-    /// Key under which the worker is in the ready set.
+    /// The worker's key in the ready set, if it is there.
     ready_key: Option<ReadyKey>,
 }
 
-/// A larger share that does not count yet.
+/// An increase of the share that takes effect later.
 #[derive(Clone, Copy, Debug)]
 struct DelayedGain {
-    /// Slots that may be used before.
+    /// Slots usable until then.
     share_before: u32,
     until_ms: u64,
 }
 
-/// A service's workers as declared, each with this instance's share.
+/// A service's declared workers, each with this instance's share of slots.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct WorkerAssignment {
     pub workers: Vec<(WorkerId, Worker, u32)>,
-    /// Start of this instance's draws, so that instances draw differently.
+    /// Initial draw counter, different for each instance.
     pub draw_seed: u64,
-    /// Whether other instances may still use the slots of workers not known
-    /// here yet.
+    /// Whether other instances may still use the slots of workers that are new
+    /// to this instance.
     pub joining: bool,
 }
 
-/// Order among workers with a free slot: the smallest gets the next task.
+/// Order of workers with a free slot: penalty, load and id. The lowest gets the
+/// next task.
 type ReadyKey = (u8, u32, WorkerId);
 
-/// The workers of one service.
 #[derive(Debug)]
 pub(crate) struct WorkerSet {
     policy: PlacementPolicy,
     settings: WorkerSettings,
     workers: HashMap<WorkerId, WorkerState>,
     ready: BTreeSet<ReadyKey>,
-    /// Workers that may take work, for the policies that draw.
+    /// Workers with a share, from which the random policies draw.
     eligible: Vec<WorkerId>,
     timers: BinaryHeap<Reverse<(u64, WorkerId)>>,
     failure_rate_sum: f64,
@@ -80,7 +80,6 @@
 }
 
 impl WorkerSet {
-    /// A set without workers.
     pub fn new(policy: PlacementPolicy, settings: WorkerSettings) -> Self {
         Self {
             policy,
@@ -98,8 +97,9 @@
         }
     }
 
-    /// Replaces the declared workers and their shares; those no longer
-    /// declared get no new work and vanish with their last placement.
+    /// Replaces the declared workers and their shares. Workers that are no
+    /// longer declared get no new tasks and are removed with their last
+    /// placement.
     pub fn replace(&mut self, now_ms: u64, run_log2: f64, assignment: WorkerAssignment) {
         self.draw_count = self.draw_count.max(assignment.draw_seed);
         let declared: HashSet<_> = assignment.workers.iter().map(|(id, _, _)| *id).collect();
@@ -155,40 +155,40 @@
         }
     }
 
-    /// Slots that this instance may use, those of ejected workers included.
+    /// Slots assigned to this instance, including those of ejected workers.
     pub fn slots(&self) -> u64 {
         self.slots
     }
 
-    /// Slots to count on: all but those of ejected workers.
+    /// Estimate of the slots of workers that are not ejected.
     pub fn serving_slots(&self) -> f64 {
         let eligible = self.eligible.len().max(1) as f64;
         let serving = (eligible - self.ejected as f64).max(1.0);
         self.slots as f64 * serving / eligible
     }
 
-    /// Workers that may take work, ejected ones included.
+    /// Number of workers with a share, including ejected ones.
     pub fn eligible_workers(&self) -> usize {
         self.eligible.len()
     }
 
-    /// A worker as seen here; `None` where no slot of it is used.
+    /// A worker's health; `None` if this instance uses no slot of it.
     pub fn health(&self, now: Now, run_log2: f64, id: WorkerId) -> Option<WorkerHealth> {
         let state = self.workers.get(&id)?;
         Some(state.health.report(now, run_log2, state.share))
     }
 
-    /// Placements out.
+    /// Number of running placements.
     pub fn running(&self) -> u64 {
         self.running
     }
 
-    /// Workers ejected or on trial.
+    /// Number of workers ejected or on probation.
     pub fn ejected(&self) -> u64 {
         self.ejected as u64
     }
 
-    /// The worker for the next task, other than `avoid` where possible.
+    /// Selects the worker for the next task, other than `avoid` if possible.
     pub fn choose(&mut self, avoid: Option<WorkerId>) -> Option<WorkerId> {
         if self.ready.is_empty() {
             return None;
@@ -200,8 +200,8 @@
         }
     }
 
-    /// The worker to avoid is taken only if it is the only one ready, which
-    /// means that its pause after the refusal is over.
+    /// The first ready worker. `avoid` is selected only if no other worker is
+    /// ready; its backoff after the refusal is over then.
     fn best_ready(&self, avoid: Option<WorkerId>) -> Option<WorkerId> {
         let mut ready = self.ready.iter().map(|(_, _, id)| *id);
         let first = ready.next()?;
@@ -211,7 +211,7 @@
         ready.next().or(Some(first))
     }
 
-    /// The least loaded of `choices` workers drawn among those ready.
+    /// The least loaded of `choices` randomly drawn ready workers.
     fn choose_random(&mut self, choices: u32, avoid: Option<WorkerId>) -> Option<WorkerId> {
         let mut drawn = Vec::new();
         for _ in 0..choices {
@@ -228,19 +228,17 @@
         ready && (Some(id) != avoid || self.ready.len() == 1)
     }
 
-    /// The address of a worker.
     pub fn address(&self, id: WorkerId) -> Option<Arc<str>> {
         let state = self.workers.get(&id)?;
         Some(Arc::clone(&state.worker.address))
     }
 
-    /// The name of a worker.
     pub fn name(&self, id: WorkerId) -> Option<Arc<str>> {
         let state = self.workers.get(&id)?;
         Some(Arc::clone(&state.worker.name))
     }
 
-    /// Takes a slot.
+    /// Occupies a slot of a worker.
     pub fn start(&mut self, now_ms: u64, run_log2: f64, id: WorkerId) {
         if let Some(state) = self.workers.get_mut(&id) {
             state.running += 1;
@@ -249,7 +247,7 @@
         self.update_ready(now_ms, run_log2, id);
     }
 
-    /// Gives a slot back and judges the worker.
+    /// Releases a slot and records the observation in the worker's health.
     pub fn finish(&mut self, now_ms: u64, run_log2: f64, id: WorkerId, observation: Observation) {
         let peers = self.peer_stats(id, run_log2);
         let Some(state) = self.workers.get_mut(&id) else {
@@ -291,7 +289,7 @@
         }
     }
 
-    /// Ends the pauses that are over.
+    /// Updates the workers whose backoff, ejection or delay has ended.
     pub fn expire_timers(&mut self, now_ms: u64, run_log2: f64) {
         while let Some(Reverse((due_ms, id))) = self.timers.peek().copied() {
             if due_ms > now_ms {
@@ -302,7 +300,7 @@
         }
     }
 
-    /// Puts a worker where it belongs in the ready set.
+    /// Updates a worker's entry in the ready set and its next timer.
     fn update_ready(&mut self, now_ms: u64, run_log2: f64, id: WorkerId) {
         let Some(state) = self.workers.get_mut(&id) else {
             return;
@@ -341,7 +339,8 @@
         }
     }
 
-    /// Takes a new share; what it gains counts from `gains_at_ms` on.
+    /// Sets the share. Slots gained are usable from `gains_at_ms` on, or
+    /// immediately if it is `None`.
     fn set_share(&mut self, share: u32, gains_at_ms: Option<u64>) {
         let usable = self.usable_share();
         self.delayed_gain = match gains_at_ms {
@@ -354,7 +353,7 @@
         self.share = share;
     }
 
-    /// When a larger share counts, if it does not yet.
+    /// Ends a delay that is over; returns the end of one that is not.
     fn update_delayed_gain(&mut self, now_ms: u64) -> Option<u64> {
         let until_ms = self.delayed_gain?.until_ms;
         if until_ms > now_ms {
@@ -364,7 +363,7 @@
         None
     }
 
-    /// Slots that may be used now.
+    /// Slots of the share that may be used now.
     fn usable_share(&self) -> u32 {
         match self.delayed_gain {
             Some(gain) => gain.share_before.min(self.share),
@@ -380,7 +379,7 @@
         })
     }
 
-    /// Slots on which tasks may start.
+    /// Slots on which tasks may start, including borrowed ones.
     fn usable(&self) -> u32 {
         match self.worker.leaving {
             true => 0,
--- a/crates/core/src/engine/worker_set/loans.rs
+++ b/crates/core/src/engine/worker_set/loans.rs
@@ -1,14 +1,14 @@
-//! Slots of workers lent to and borrowed from other instances.
+//! Worker slots lent to and borrowed from other instances.
 
 use super::{Worker, WorkerId, WorkerSet, WorkerState};
 
 impl WorkerSet {
-    /// Whether some worker has a free slot for the next task.
+    /// Whether any worker has a free slot.
     pub fn has_ready(&self) -> bool {
         !self.ready.is_empty()
     }
 
-    /// Lends up to `slots_max` free slots, half of the free ones at most.
+    /// Lends up to `slots_max` slots, but at most half of the free ones.
     pub fn lend(&mut self, now_ms: u64, run_log2: f64, slots_max: u32) -> Vec<WorkerId> {
         let free = self.slots.saturating_sub(self.running + self.lent);
         let count = free.div_ceil(2).min(u64::from(slots_max));
@@ -31,7 +31,7 @@
         lent
     }
 
-    /// Takes lent slots back.
+    /// Ends the loan of up to `slots` lent slots of a worker.
     pub fn reclaim(&mut self, now_ms: u64, run_log2: f64, id: WorkerId, slots: u32) {
         if let Some(state) = self.workers.get_mut(&id) {
             let taken = slots.min(state.lent);
@@ -41,7 +41,7 @@
         self.update_ready(now_ms, run_log2, id);
     }
 
-    /// Adds borrowed slots of a worker, which may be one without a share.
+    /// Adds borrowed slots of a worker, even if this instance has no share of it.
     pub fn borrow(&mut self, now_ms: u64, run_log2: f64, id: WorkerId, worker: Worker, slots: u32) {
         let state = self.workers.entry(id);
         let state = state.or_insert_with(|| WorkerState::new(worker));
@@ -49,7 +49,7 @@
         self.update_ready(now_ms, run_log2, id);
     }
 
-    /// Borrowed slots of a worker that no task uses.
+    /// Number of borrowed slots of a worker without a running task.
     pub fn idle_borrowed(&self, id: WorkerId) -> u32 {
         let Some(state) = self.workers.get(&id) else {
             return u32::MAX;
@@ -58,7 +58,7 @@
         usable.saturating_sub(state.running).min(state.borrowed)
     }
 
-    /// Ends a loan's time: its slots get no new task.
+    /// Stops new tasks on the borrowed slots of an expired loan.
     pub fn expire_loan(&mut self, now_ms: u64, run_log2: f64, id: WorkerId, slots: u32) {
         if let Some(state) = self.workers.get_mut(&id) {
             state.expired_borrowed += slots;
@@ -66,7 +66,7 @@
         self.update_ready(now_ms, run_log2, id);
     }
 
-    /// Removes borrowed slots, of a loan that is closed or not.
+    /// Removes borrowed slots; `expired` tells whether their loan has expired.
     pub fn return_borrowed(
         &mut self,
         now_ms: u64,
