--- a/crates/core/tests/engine_load.rs
+++ b/crates/core/tests/engine_load.rs
@@ -1,12 +1,12 @@
-//! The policies under load and faults, in virtual time; each bound is the
-//! users' target or a comparison with a baseline.
+//! Scheduling policies under load and faults in virtual time, compared with
+//! targets or baselines.
 
 mod engine_support;
 
 use engine_support::virtual_load::{Load, run};
 use trefoil_core::engine::{EngineSettings, QueueOrder};
 
-/// A load short enough for an unoptimised build.
+/// A load that is short enough for an unoptimised build.
 fn load() -> Load {
     Load {
         arrivals_ms: 20_000,
@@ -15,20 +15,20 @@
 }
 
 #[test]
-fn urgency_order_beats_arrival_order_at_95_percent() {
-    let urgency = Load {
+fn priority_order_beats_fifo_at_95_percent_load() {
+    let priority = Load {
         offered: 0.95,
         ..load()
     };
-    let mut arrival = urgency.clone();
-    arrival.engine.order = QueueOrder::Fifo;
-    arrival.engine.admission = false;
-    let (urgency, arrival) = (run(&urgency), run(&arrival));
-    assert_eq!(urgency.refused + urgency.late + urgency.failed, 0);
-    assert_eq!(urgency.wasted, 0);
-    assert!(urgency.mean() < 0.7 * arrival.mean());
-    assert!(urgency.quantile(0.99) < 0.7 * arrival.quantile(0.99));
-    assert!(urgency.quantile(0.999) < arrival.quantile(0.999));
+    let mut fifo = priority.clone();
+    fifo.engine.order = QueueOrder::Fifo;
+    fifo.engine.admission = false;
+    let (priority, fifo) = (run(&priority), run(&fifo));
+    assert_eq!(priority.refused + priority.late + priority.failed, 0);
+    assert_eq!(priority.wasted, 0);
+    assert!(priority.mean() < 0.7 * fifo.mean());
+    assert!(priority.quantile(0.99) < 0.7 * fifo.quantile(0.99));
+    assert!(priority.quantile(0.999) < fifo.quantile(0.999));
 }
 
 #[test]
@@ -46,7 +46,7 @@
 }
 
 #[test]
-fn a_slow_worker_gets_fewer_tasks_than_its_speed_earns() {
+fn a_slow_worker_gets_disproportionately_few_tasks() {
     let load = Load {
         slow_workers: 1,
         ..load()
@@ -74,7 +74,7 @@
 fn a_worker_that_refuses_everything_ruins_no_job() {
     let load = Load {
         failing_workers: 1,
-        failing_refuse: true,
+        failing_workers_refuse: true,
         ..load()
     };
     let outcome = run(&load);
@@ -83,7 +83,7 @@
 }
 
 #[test]
-fn a_fault_that_all_workers_show_ejects_nobody() {
+fn a_failure_common_to_all_workers_ejects_none() {
     let load = Load {
         failing_workers: 50,
         arrivals_ms: 5_000,
@@ -97,7 +97,7 @@
 }
 
 #[test]
-fn the_same_seed_gives_the_same_history() {
+fn the_same_seed_gives_the_same_result() {
     let load = Load {
         arrivals_ms: 3_000,
         engine: EngineSettings::default(),
@@ -109,7 +109,7 @@
 }
 
 #[test]
-fn declared_run_times_wrong_by_ten_change_nothing_once_learned() {
+fn wrong_declared_run_times_have_no_effect_after_warm_up() {
     for seed in 1..=2 {
         let declared = |declared_run_ms| Load {
             seed,
@@ -130,7 +130,7 @@
 }
 
 #[test]
-fn a_team_that_floods_leaves_room_for_the_others() {
+fn an_overloading_team_does_not_crowd_out_others() {
     let load = Load {
         offered: 2.0,
         greedy_share: 0.8,
@@ -160,22 +160,22 @@
 }
 
 #[test]
-fn lending_brings_small_pools_near_one_that_has_all_slots() {
-    let mut lending = Load {
+fn lending_brings_split_pools_near_a_single_pool() {
+    let mut with_lending = Load {
         workers: 17,
         ..load()
     };
-    let mut apart = lending.clone();
-    apart.engine.placement.lending = false;
-    let whole = Load {
+    let mut without_lending = with_lending.clone();
+    without_lending.engine.placement.lending = false;
+    let single_pool = Load {
         instances: 1,
-        ..lending.clone()
+        ..with_lending.clone()
     };
-    let (apart, whole) = (run(&apart), run(&whole));
-    lending.engine.placement.lending = true;
-    let lent = run(&lending);
+    let (without_lending, single_pool) = (run(&without_lending), run(&single_pool));
+    with_lending.engine.placement.lending = true;
+    let lent = run(&with_lending);
     assert_eq!(lent.refused + lent.late + lent.failed + lent.wasted, 0);
-    assert!(lent.mean() < 1.1 * whole.mean(), "{}", lent.mean());
-    assert!(lent.quantile(0.99) < 0.6 * apart.quantile(0.99));
+    assert!(lent.mean() < 1.1 * single_pool.mean(), "{}", lent.mean());
+    assert!(lent.quantile(0.99) < 0.6 * without_lending.quantile(0.99));
     assert!(2 * lent.slot_refusals * 10 < lent.starts);
 }
--- a/crates/core/tests/engine_policy.rs
+++ b/crates/core/tests/engine_policy.rs
@@ -1,5 +1,5 @@
-//! Quotas, fair shares, retries and shares of slots, and at most one start
-//! whatever the history.
+//! Quotas, fair shares, retries, shares of slots, and at-most-once starts under
+//! random histories.
 
 mod engine_support;
 
@@ -7,7 +7,7 @@
 use std::sync::{Arc, Mutex};
 use std::thread;
 
-use arbtest::arbitrary::{Result as Drawn, Unstructured};
+use arbtest::arbitrary::{Result as ArbitraryResult, Unstructured};
 use bytes::Bytes;
 use engine_support::*;
 use trefoil_core::engine::*;
@@ -26,105 +26,105 @@
 
 #[test]
 fn a_smaller_share_takes_effect_as_tasks_finish() {
-    let mut bench = EngineHarness::new(without_admission(), 2, 4);
-    bench.submit(submission(&key(0, "one"), 100, 60_000), true);
-    assert_eq!(bench.starts.len(), 8);
-    bench.set_members(&["a", "b"]);
-    assert_eq!(bench.engine.stats().slots_owned, 4);
+    let mut harness = EngineHarness::new(without_admission(), 2, 4);
+    harness.submit(submission(&key(0, "one"), 100, 60_000), true);
+    assert_eq!(harness.starts.len(), 8);
+    harness.set_members(&["a", "b"]);
+    assert_eq!(harness.engine.stats().slots_owned, 4);
     for finished in 1..=8_usize {
-        let start = bench.starts.pop_front().unwrap();
-        bench.finish(start.task, TaskOutcome::Done(Bytes::new()));
-        assert!(bench.engine.stats().tasks_running >= 4);
-        assert!(bench.starts.len() <= 8 - finished.min(4));
+        let start = harness.starts.pop_front().unwrap();
+        harness.finish(start.task, TaskOutcome::Done(Bytes::new()));
+        assert!(harness.engine.stats().tasks_running >= 4);
+        assert!(harness.starts.len() <= 8 - finished.min(4));
     }
-    assert_eq!(bench.engine.stats().tasks_running, 4);
+    assert_eq!(harness.engine.stats().tasks_running, 4);
 }
 
 #[test]
-fn a_larger_share_waits_for_the_tasks_of_whoever_had_it() {
-    let mut bench = EngineHarness::new(without_admission(), 2, 4);
-    bench.set_members(&["a", "b"]);
-    bench.submit(submission(&key(0, "one"), 100, 60_000), true);
-    assert_eq!(bench.starts.len(), 4);
-    bench.set_members(&["a"]);
-    bench.advance_ms(999);
-    assert_eq!(bench.engine.stats().tasks_running, 4);
-    bench.advance_ms(1);
-    assert_eq!(bench.engine.stats().tasks_running, 8);
+fn gained_slots_are_used_after_a_delay() {
+    let mut harness = EngineHarness::new(without_admission(), 2, 4);
+    harness.set_members(&["a", "b"]);
+    harness.submit(submission(&key(0, "one"), 100, 60_000), true);
+    assert_eq!(harness.starts.len(), 4);
+    harness.set_members(&["a"]);
+    harness.advance_ms(999);
+    assert_eq!(harness.engine.stats().tasks_running, 4);
+    harness.advance_ms(1);
+    assert_eq!(harness.engine.stats().tasks_running, 8);
 }
 
 #[test]
-fn an_instance_that_joins_waits_for_the_tasks_of_the_others() {
-    let mut bench = EngineHarness::new(without_admission(), 2, 4);
-    bench.set_members(&["b"]);
-    bench.set_members(&["a", "b"]);
-    bench.submit(submission(&key(0, "one"), 100, 60_000), true);
-    assert!(bench.starts.is_empty());
-    bench.advance_ms(1000);
-    assert_eq!(bench.starts.len(), 4);
+fn a_joining_instance_uses_its_share_after_a_delay() {
+    let mut harness = EngineHarness::new(without_admission(), 2, 4);
+    harness.set_members(&["b"]);
+    harness.set_members(&["a", "b"]);
+    harness.submit(submission(&key(0, "one"), 100, 60_000), true);
+    assert!(harness.starts.is_empty());
+    harness.advance_ms(1000);
+    assert_eq!(harness.starts.len(), 4);
 }
 
 #[test]
 fn an_instance_that_is_not_a_member_starts_nothing() {
-    let mut bench = EngineHarness::new(without_admission(), 2, 4);
-    bench.set_members(&["b"]);
-    bench.submit(submission(&key(0, "one"), 1, 1000), true);
-    let refusal = bench.refusal();
+    let mut harness = EngineHarness::new(without_admission(), 2, 4);
+    harness.set_members(&["b"]);
+    harness.submit(submission(&key(0, "one"), 1, 1000), true);
+    let refusal = harness.refusal();
     assert_eq!(refusal.reason, RefusalReason::NoWorkers);
     assert_eq!(refusal.verdict, Verdict::NotRun);
 }
 
 #[test]
-fn a_team_keeps_within_its_slots_and_others_use_the_rest() {
-    let mut bench = EngineHarness::new(without_admission(), 2, 4);
-    let mut bounded = config(2, 4);
-    bounded.teams.get_mut("red").unwrap().spec.slots_max = 3;
-    bench.set_config(&bounded);
+fn a_team_stays_within_slots_max_and_others_use_the_rest() {
+    let mut harness = EngineHarness::new(without_admission(), 2, 4);
+    let mut limited = config(2, 4);
+    limited.teams.get_mut("red").unwrap().spec.slots_max = 3;
+    harness.set_config(&limited);
     for name in ["one", "two"] {
-        bench.submit(submission(&key(0, name), 10, 60_000), true);
+        harness.submit(submission(&key(0, name), 10, 60_000), true);
     }
-    assert_eq!(bench.starts.len(), 3);
+    assert_eq!(harness.starts.len(), 3);
     let blue = Submission {
         team: "blue".into(),
         ..submission(&key(0, "blue"), 10, 60_000)
     };
-    bench.submit(blue, true);
-    assert_eq!(bench.starts.len(), 8);
-    assert_eq!(bench.finish_all(), 30);
-    assert_eq!(bench.answers.len(), 3);
+    harness.submit(blue, true);
+    assert_eq!(harness.starts.len(), 8);
+    assert_eq!(harness.finish_all(), 30);
+    assert_eq!(harness.answers.len(), 3);
 }
 
 #[test]
-fn a_job_set_aside_goes_on_when_the_one_before_it_is_cancelled() {
-    let mut bench = EngineHarness::new(without_admission(), 2, 1);
-    let mut bounded = config(2, 1);
-    bounded.teams.get_mut("red").unwrap().spec.slots_max = 1;
-    bench.set_config(&bounded);
+fn a_parked_job_resumes_when_the_one_before_it_is_cancelled() {
+    let mut harness = EngineHarness::new(without_admission(), 2, 1);
+    let mut limited = config(2, 1);
+    limited.teams.get_mut("red").unwrap().spec.slots_max = 1;
+    harness.set_config(&limited);
     for name in ["first", "second", "third"] {
-        bench.submit(submission(&key(0, name), 1, 60_000), true);
+        harness.submit(submission(&key(0, name), 1, 60_000), true);
     }
     let urgent = Submission {
         team: "blue".into(),
         ..submission(&key(0, "urgent"), 2, 3000)
     };
-    bench.submit(urgent, true);
-    let first = bench.starts.pop_front().unwrap();
-    bench.finish(first.task, TaskOutcome::Done(Bytes::new()));
-    bench.cancel(&key(0, "second"));
-    assert_eq!(bench.finish_all(), 3);
-    // The cancelled job answers its submitter and whoever cancelled it.
-    assert_eq!(bench.answers.len(), 5);
+    harness.submit(urgent, true);
+    let first = harness.starts.pop_front().unwrap();
+    harness.finish(first.task, TaskOutcome::Done(Bytes::new()));
+    harness.cancel(&key(0, "second"));
+    assert_eq!(harness.finish_all(), 3);
+    // The cancelled job answers both the submission and the cancellation.
+    assert_eq!(harness.answers.len(), 5);
 }
 
 #[test]
-fn a_team_beyond_its_queue_is_refused_alone() {
-    let mut bench = EngineHarness::new(without_admission(), 1, 1);
-    let mut bounded = config(1, 1);
-    bounded.teams.get_mut("red").unwrap().spec.queued_tasks_max = 5;
-    bench.set_config(&bounded);
-    bench.submit(submission(&key(0, "one"), 5, 60_000), true);
-    bench.submit(submission(&key(0, "two"), 5, 60_000), true);
-    let refusal = bench.refusal();
+fn a_team_beyond_queued_tasks_max_is_refused_and_others_are_not() {
+    let mut harness = EngineHarness::new(without_admission(), 1, 1);
+    let mut limited = config(1, 1);
+    limited.teams.get_mut("red").unwrap().spec.queued_tasks_max = 5;
+    harness.set_config(&limited);
+    harness.submit(submission(&key(0, "one"), 5, 60_000), true);
+    harness.submit(submission(&key(0, "two"), 5, 60_000), true);
+    let refusal = harness.refusal();
     assert_eq!(refusal.reason, RefusalReason::Quota);
     assert_eq!(refusal.verdict, Verdict::NotRun);
     assert!(refusal.retry_after_ms > 0);
@@ -132,28 +132,28 @@
         team: "blue".into(),
         ..submission(&key(0, "blue"), 5, 60_000)
     };
-    bench.submit(blue, true);
-    assert!(bench.answers.is_empty());
+    harness.submit(blue, true);
+    assert!(harness.answers.is_empty());
 }
 
 #[test]
-fn a_team_that_floods_does_not_hold_up_another() {
-    let mut bench = EngineHarness::new(without_admission(), 1, 4);
+fn a_team_with_many_jobs_does_not_delay_another() {
+    let mut harness = EngineHarness::new(without_admission(), 1, 4);
     for number in 0..200 {
         let name = format!("red-{number}");
-        bench.submit(submission(&key(0, &name), 4, 300_000), true);
+        harness.submit(submission(&key(0, &name), 4, 300_000), true);
     }
     let mut blue = Vec::new();
     for number in 0..10 {
-        bench.now = bench.now.plus_ms(10);
+        harness.now = harness.now.plus_ms(10);
         let submission = Submission {
             team: "blue".into(),
             ..submission(&key(0, &format!("blue-{number}")), 4, 300_000)
         };
-        blue.push(bench.submit(submission, true));
+        blue.push(harness.submit(submission, true));
     }
-    bench.finish_all();
-    let order = bench.answers.iter().map(|(waiter, _)| *waiter);
+    harness.finish_all();
+    let order = harness.answers.iter().map(|(waiter, _)| *waiter);
     let last_blue = order
         .enumerate()
         .filter(|(_, waiter)| blue.contains(waiter));
@@ -162,22 +162,22 @@
 }
 
 #[test]
-fn retries_keep_within_their_budget_and_a_job_never_run_says_so() {
-    let mut bench = EngineHarness::new(without_admission(), 10, 8);
+fn retries_stay_within_the_budget_and_jobs_never_run_report_not_run() {
+    let mut harness = EngineHarness::new(without_admission(), 10, 8);
     for number in 0..200 {
         let name = format!("job-{number}");
-        bench.submit(submission(&key(0, &name), 1, 600_000), true);
+        harness.submit(submission(&key(0, &name), 1, 600_000), true);
     }
     for _ in 0..2000 {
-        while let Some(start) = bench.starts.pop_front() {
-            bench.finish(start.task, refused());
+        while let Some(start) = harness.starts.pop_front() {
+            harness.finish(start.task, refused());
         }
-        bench.advance_ms(10);
+        harness.advance_ms(10);
     }
-    let stats = bench.engine.stats();
-    assert_eq!(bench.answers.len(), 200);
+    let stats = harness.engine.stats();
+    assert_eq!(harness.answers.len(), 200);
     assert!(stats.tasks_retried <= 10 + 200 / 10, "{stats:?}");
-    for (_, answer) in &bench.answers {
+    for (_, answer) in &harness.answers {
         let (state, verdict, reason) = state_of(answer);
         assert_eq!((state, verdict), (JobState::Failed, Verdict::NotRun));
         assert!(matches!(reason, "retry_budget" | "task_refused"));
@@ -185,33 +185,33 @@
 }
 
 #[test]
-fn a_wave_of_cancellations_frees_every_queue_place() {
-    let mut bench = EngineHarness::new(without_admission(), 1, 1);
+fn cancelling_all_jobs_empties_the_queue() {
+    let mut harness = EngineHarness::new(without_admission(), 1, 1);
     for number in 0..1000 {
         let name = format!("job-{number}");
-        bench.submit(submission(&key(0, &name), 10, 60_000), true);
+        harness.submit(submission(&key(0, &name), 10, 60_000), true);
     }
     for number in 0..1000 {
-        bench.cancel(&key(0, &format!("job-{number}")));
+        harness.cancel(&key(0, &format!("job-{number}")));
     }
-    let stats = bench.engine.stats();
+    let stats = harness.engine.stats();
     assert_eq!((stats.tasks_queued, stats.jobs_running), (0, 0));
-    assert_eq!(bench.answers.len(), 2000);
-    assert_eq!(bench.starts.len(), 1);
+    assert_eq!(harness.answers.len(), 2000);
+    assert_eq!(harness.starts.len(), 1);
 }
 
 #[test]
-fn a_refusal_for_overload_says_when_and_says_it_alike() {
-    let mut bench = EngineHarness::new(EngineSettings::default(), 1, 1);
-    bench.submit(submission(&key(0, "one"), 40, 60_000), true);
+fn an_overload_refusal_has_a_stable_retry_delay() {
+    let mut harness = EngineHarness::new(EngineSettings::default(), 1, 1);
+    harness.submit(submission(&key(0, "one"), 40, 60_000), true);
     let mut waits_ms = Vec::new();
     for _ in 0..2 {
-        bench.submit(submission(&key(0, "two"), 1, 1000), true);
-        bench.submit(submission(&key(0, "big"), 20, 5_000), true);
-        bench
+        harness.submit(submission(&key(0, "two"), 1, 1000), true);
+        harness.submit(submission(&key(0, "big"), 20, 5_000), true);
+        harness
             .answers
             .retain(|(_, answer)| matches!(answer, JobAnswer::Refused(_)));
-        let refusal = bench.refusal();
+        let refusal = harness.refusal();
         assert_eq!(refusal.reason, RefusalReason::Overload);
         assert_eq!(refusal.verdict, Verdict::NotRun);
         waits_ms.push(refusal.retry_after_ms);
@@ -221,7 +221,7 @@
 }
 
 #[test]
-fn threads_that_submit_the_same_keys_start_each_once() {
+fn concurrent_submissions_of_the_same_keys_start_each_task_once() {
     let engine = EngineHarness::new(without_admission(), 10, 8).engine;
     let engine = Arc::new(engine);
     let (starts, answers) = (
@@ -231,22 +231,22 @@
     let threads: Vec<_> = (0..4_u64)
         .map(|number| {
             let (engine, starts, answers) = (engine.clone(), starts.clone(), answers.clone());
-            thread::spawn(move || race(&engine, number, &starts, &answers))
+            thread::spawn(move || submit_and_finish(&engine, number, &starts, &answers))
         })
         .collect();
     for thread in threads {
         thread.join().unwrap();
     }
     let starts = starts.lock().unwrap();
-    let once: HashSet<_> = starts.iter().collect();
-    assert_eq!((starts.len(), once.len()), (1000, 1000));
+    let distinct: HashSet<_> = starts.iter().collect();
+    assert_eq!((starts.len(), distinct.len()), (1000, 1000));
     let answers = answers.lock().unwrap();
-    let once: HashSet<_> = answers.iter().collect();
-    assert_eq!((answers.len(), once.len()), (2000, 2000));
+    let distinct: HashSet<_> = answers.iter().collect();
+    assert_eq!((answers.len(), distinct.len()), (2000, 2000));
 }
 
-/// Submits 500 jobs of two tasks and finishes whatever starts.
-fn race(
+/// Submits 500 jobs of two tasks and finishes every task that starts.
+fn submit_and_finish(
     engine: &Engine,
     thread: u64,
     starts: &Mutex<Vec<(String, u32)>>,
@@ -277,72 +277,72 @@
 }
 
 #[test]
-fn no_history_starts_a_task_twice_or_answers_a_waiter_twice() {
+fn random_histories_never_start_a_task_twice_or_answer_a_waiter_twice() {
     arbtest::arbtest(|u| {
         let mut settings = without_admission();
         settings.jobs.keys_max = 6;
         settings.jobs.key_window_ms = 5000;
-        let mut history = History::new(EngineHarness::new(settings, 3, 2));
+        let mut checked = CheckedHarness::new(EngineHarness::new(settings, 3, 2));
         while !u.is_empty() {
-            history.step(u)?;
-            history.check();
+            checked.step(u)?;
+            checked.check();
         }
         Ok(())
     });
 }
 
-/// A bench whose every start and answer is checked.
-struct History {
-    bench: EngineHarness,
-    out: Vec<Start>,
-    /// Tasks started, and whether their last placement provably did not run.
+/// A harness that checks every start and answer.
+struct CheckedHarness {
+    harness: EngineHarness,
+    running: Vec<Start>,
+    /// Started tasks, and whether their last placement was refused.
     tasks: HashMap<(String, u32), bool>,
-    /// The key that each waiter asked about.
+    /// The key of each waiter's request.
     waiters: HashMap<WaiterId, String>,
     answered: HashSet<WaiterId>,
 }
 
-impl History {
-    fn new(bench: EngineHarness) -> Self {
+impl CheckedHarness {
+    fn new(harness: EngineHarness) -> Self {
         Self {
-            bench,
-            out: Vec::new(),
+            harness,
+            running: Vec::new(),
             tasks: HashMap::new(),
             waiters: HashMap::new(),
             answered: HashSet::new(),
         }
     }
 
-    fn step(&mut self, u: &mut Unstructured<'_>) -> Drawn<()> {
+    fn step(&mut self, u: &mut Unstructured<'_>) -> ArbitraryResult<()> {
         let age_ms = u.int_in_range(0..=3)? * 1000;
         let job = key(age_ms, &u.int_in_range(0..=2)?.to_string());
         match u.int_in_range(0..=9)? {
             0..=3 => {
                 let tasks = u.int_in_range(1..=5)?;
                 let submission = submission(&job, tasks, 2000);
-                let waiter = self.bench.submit(submission, true);
+                let waiter = self.harness.submit(submission, true);
                 self.waiters.insert(waiter, job.to_string());
             }
             4 => {
-                let waiter = self.bench.cancel(&job);
+                let waiter = self.harness.cancel(&job);
                 self.waiters.insert(waiter, job.to_string());
             }
-            5 => self.bench.advance_ms(u.int_in_range(1..=1500)?),
+            5 => self.harness.advance_ms(u.int_in_range(1..=1500)?),
             6 => {
                 let members: &[&str] = if u.arbitrary()? { &["a"] } else { &["a", "b"] };
-                self.bench.set_members(members);
+                self.harness.set_members(members);
             }
             _ => self.finish(u)?,
         }
         Ok(())
     }
 
-    fn finish(&mut self, u: &mut Unstructured<'_>) -> Drawn<()> {
-        if self.out.is_empty() {
+    fn finish(&mut self, u: &mut Unstructured<'_>) -> ArbitraryResult<()> {
+        if self.running.is_empty() {
             return Ok(());
         }
-        let chosen = u.choose_index(self.out.len())?;
-        let start = self.out.swap_remove(chosen);
+        let chosen = u.choose_index(self.running.len())?;
+        let start = self.running.swap_remove(chosen);
         let outcome = match u.int_in_range(0..=5)? {
             0 => TaskOutcome::Failed("500".to_owned()),
             1 => TaskOutcome::MayHaveRun("reset".to_owned()),
@@ -353,23 +353,23 @@
             }
             _ => TaskOutcome::Done(Bytes::new()),
         };
-        self.bench.finish(start.task, outcome);
+        self.harness.finish(start.task, outcome);
         Ok(())
     }
 
     fn check(&mut self) {
-        for start in self.bench.starts.drain(..) {
+        for start in self.harness.starts.drain(..) {
             let task = (start.key.to_string(), start.index);
             let before = self.tasks.insert(task, false);
             assert_ne!(before, Some(false), "started twice: {start:?}");
-            self.out.push(start);
+            self.running.push(start);
         }
-        for (waiter, answer) in std::mem::take(&mut self.bench.answers) {
+        for (waiter, answer) in std::mem::take(&mut self.harness.answers) {
             assert!(self.answered.insert(waiter), "answered twice: {answer:?}");
             self.check_answer(&self.waiters[&waiter], &answer);
         }
-        let stats = self.bench.engine.stats();
-        assert_eq!(stats.tasks_running, self.out.len() as u64);
+        let stats = self.harness.engine.stats();
+        assert_eq!(stats.tasks_running, self.running.len() as u64);
         assert!(stats.tasks_running <= 6);
         assert!(stats.keys <= 6);
     }
--- a/crates/core/tests/engine_support/mod.rs
+++ b/crates/core/tests/engine_support/mod.rs
@@ -1,4 +1,4 @@
-//! An engine with declared workers, driven in virtual time.
+//! Test harness for an engine with declared workers in virtual time.
 
 #![allow(dead_code)]
 
@@ -14,10 +14,10 @@
 use trefoil_core::time::Now;
 use trefoil_schema::resources::{BackendServerSpec, BackendServerState, ServiceSpec, TeamSpec};
 
-/// Wall time at which every test starts.
+/// Wall clock time at which every test starts.
 pub const START_WALL_MS: u64 = 1_700_000_000_000;
 
-/// A declaration of `workers` workers with `slots` slots, and two teams.
+/// Declarations of `workers` workers with `slots` slots each, and two teams.
 pub fn config(workers: usize, slots: u32) -> ConfigSnapshot {
     let mut config = ConfigSnapshot::default();
     for team in ["red", "blue"] {
@@ -48,7 +48,7 @@
     }
 }
 
-/// A declaration at revision 1.
+/// Declares `spec` at revision 1.
 pub fn declared<T>(spec: T) -> Declared<T> {
     Declared { spec, revision: 1 }
 }
@@ -58,7 +58,7 @@
     JobKey::parse(&format!("{}-{text}", START_WALL_MS - age_ms)).unwrap()
 }
 
-/// A submission of `tasks` tasks that has `timeout_ms`.
+/// A submission of `tasks` tasks for team `red`.
 pub fn submission(key: &JobKey, tasks: usize, timeout_ms: u64) -> Submission {
     let task = Task {
         payload: Bytes::from_static(b"{}"),
@@ -74,7 +74,7 @@
     }
 }
 
-/// A placement that the engine asked for.
+/// A placement started by the engine.
 #[derive(Clone, Debug)]
 pub struct Start {
     pub task: TaskId,
@@ -84,7 +84,7 @@
     pub worker: WorkerId,
 }
 
-/// The engine, its clock and the commands not yet looked at.
+/// An engine, its clock, and the commands not yet consumed by the test.
 pub struct EngineHarness {
     pub engine: Engine,
     pub now: Now,
@@ -94,9 +94,9 @@
 }
 
 impl EngineHarness {
-    /// The only instance of its failure domain, with `workers` workers.
+    /// Creates the only instance of its failure domain, with `workers` workers.
     pub fn new(settings: EngineSettings, workers: usize, slots: u32) -> Self {
-        let mut bench = Self {
+        let mut harness = Self {
             engine: Engine::new(settings),
             now: Now {
                 mono_ms: 1000,
@@ -106,13 +106,13 @@
             answers: VecDeque::new(),
             next_waiter: 0,
         };
-        bench.engine.set_admission_limit(u64::MAX);
-        bench.set_members(&["a"]);
-        bench.set_config(&config(workers, slots));
-        bench
+        harness.engine.set_admission_limit(u64::MAX);
+        harness.set_members(&["a"]);
+        harness.set_config(&config(workers, slots));
+        harness
     }
 
-    /// Runs `call` and sorts its commands.
+    /// Runs `call` and queues its commands by type.
     pub fn call(&mut self, call: impl FnOnce(&Engine, Now, &mut Vec<Command>)) {
         let mut out = Vec::new();
         call(&self.engine, self.now, &mut out);
@@ -171,7 +171,8 @@
         self.call(|engine, now, out| engine.task_finished(now, task, outcome, out));
     }
 
-    /// Finishes every start, also those that follow, with its own index.
+    /// Finishes all tasks, including those that start in consequence, with their
+    /// index as the result; returns their number.
     pub fn finish_all(&mut self) -> usize {
         let mut finished = 0;
         while let Some(start) = self.starts.pop_front() {
@@ -187,13 +188,13 @@
         self.call(|engine, now, out| engine.tick(now, out));
     }
 
-    /// The only answer not yet looked at.
+    /// Consumes the only pending answer.
     pub fn answer(&mut self) -> JobAnswer {
         assert_eq!(self.answers.len(), 1, "{:?}", self.answers);
         self.answers.pop_front().unwrap().1
     }
 
-    /// The only answer, which is a refusal.
+    /// Consumes the only pending answer, which must be a refusal.
     pub fn refusal(&mut self) -> Refusal {
         match self.answer() {
             JobAnswer::Refused(refusal) => refusal,
--- a/crates/core/tests/engine_support/virtual_load.rs
+++ b/crates/core/tests/engine_support/virtual_load.rs
@@ -1,8 +1,8 @@
-//! A load of jobs on the engines of one failure domain, in virtual time.
+//! Simulates a load of jobs on the engines of one failure domain in virtual time.
 //!
-//! Workers refuse what exceeds their slots; nothing else of a network is
-//! modelled. Run times lie between 50 ms and 1 s, evenly over their logarithm,
-//! and one in 200 between 2 and 5 s.
+//! Workers refuse tasks beyond their slots; the network is not modelled. Run
+//! times are log-uniform between 50 ms and 1 s; one in 200 is uniform between 2
+//! and 5 s.
 
 use std::cmp::Reverse;
 use std::collections::{BinaryHeap, HashMap};
@@ -17,12 +17,11 @@
 use super::{START_WALL_MS, config, declared};
 use trefoil_schema::resources::TeamSpec;
 
-/// Period of ticks.
 const TICK_MS: u64 = 10;
-/// Time after which a worker's refusal or failure is known.
+/// Time until the engine learns of a worker's refusal or failure.
 const REFUSAL_MS: u64 = 1;
 
-/// What the load is like.
+/// Parameters of a simulation.
 #[derive(Clone, Debug)]
 pub struct Load {
     pub seed: u64,
@@ -31,24 +30,25 @@
     pub workers: usize,
     pub slots: u32,
     pub teams: usize,
-    /// Share of the jobs that the first team submits beyond its own.
+    /// Share of the jobs that the first team submits in addition to its equal part.
     pub greedy_share: f64,
-    /// Work offered, as a share of what the workers can do.
+    /// Offered load as a share of the workers' capacity.
     pub offered: f64,
-    /// Time during which jobs arrive, after `warm_up_ms` that does not count.
+    /// Time during which jobs arrive, after `warm_up_ms` that is not measured.
     pub arrivals_ms: u64,
     pub warm_up_ms: u64,
     pub timeout_ms: u64,
-    /// Run time that the service's declaration claims.
+    /// Run time in the service's declaration.
     pub declared_run_ms: u64,
-    /// When the last instance is lost; its tasks run on, its jobs do not count.
+    /// When the last instance is lost. Its tasks continue on the workers; its jobs
+    /// are not measured.
     pub lost_at_ms: Option<u64>,
     /// Workers that take five times as long.
     pub slow_workers: usize,
-    /// Workers that fail whatever they start.
+    /// Workers that fail every task.
     pub failing_workers: usize,
-    /// Every failing worker refuses instead, so that its tasks can go on.
-    pub failing_refuse: bool,
+    /// Failing workers refuse tasks instead, so that these can be retried.
+    pub failing_workers_refuse: bool,
 }
 
 impl Default for Load {
@@ -69,12 +69,12 @@
             lost_at_ms: None,
             slow_workers: 0,
             failing_workers: 0,
-            failing_refuse: false,
+            failing_workers_refuse: false,
         }
     }
 }
 
-/// What came of a load; jobs of the warm-up do not count.
+/// Results of a simulation, without the jobs of the warm-up.
 #[derive(Clone, Debug, Default)]
 pub struct Outcome {
     pub submitted: u64,
@@ -82,21 +82,21 @@
     pub complete: u64,
     pub late: u64,
     pub failed: u64,
-    /// Response time over the job's longest run time, sorted.
+    /// Response times divided by the job's longest run time, sorted.
     pub slowdowns: Vec<f64>,
-    /// Slot time of complete jobs, in milliseconds.
+    /// Run time of the tasks of complete jobs.
     pub useful_ms: u64,
-    /// Slot time of all jobs submitted.
+    /// Run time of the tasks of all submitted jobs.
     pub offered_ms: u64,
     pub starts: u64,
     /// Starts that a worker refused.
     pub wasted: u64,
     /// Messages between instances about slots.
     pub slot_messages: u64,
-    /// Asked for slots in vain.
+    /// Requests for slots that were answered without any.
     pub slot_refusals: u64,
     pub starts_by_worker: HashMap<String, u64>,
-    /// Jobs submitted and refused, by team.
+    /// Numbers of submitted and refused jobs by team.
     pub by_team: Vec<(u64, u64)>,
 }
 
@@ -110,12 +110,12 @@
         self.slowdowns[(last as f64 * quantile).round() as usize]
     }
 
-    /// Jobs past their deadline, of those admitted.
+    /// Share of the admitted jobs that missed their deadline.
     pub fn late_share(&self) -> f64 {
         self.late as f64 / (self.submitted - self.refused).max(1) as f64
     }
 
-    /// Slot time spent on complete jobs, of what all slots offer.
+    /// Run time of complete jobs as a share of the workers' capacity.
     pub fn goodput(&self, load: &Load) -> f64 {
         let slots = load.workers as f64 * f64::from(load.slots);
         self.useful_ms as f64 / (slots * load.arrivals_ms as f64)
@@ -132,14 +132,14 @@
         instance: usize,
         task: TaskId,
         worker: usize,
-        ends: End,
+        end: TaskEnd,
     },
     Arrival,
     Tick,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-enum End {
+enum TaskEnd {
     Done,
     Failed,
     Refused,
@@ -150,15 +150,14 @@
     submitted_ms: u64,
     run_ms: Vec<u64>,
     team: usize,
-    counted: bool,
+    measured: bool,
 }
 
-/// The failure domain under load.
-struct Domain<'a> {
+struct Simulation<'a> {
     load: &'a Load,
     rng: ChaCha8Rng,
     engines: Vec<Engine>,
-    busy: Vec<u32>,
+    busy_slots: Vec<u32>,
     jobs: HashMap<WaiterId, RunningJob>,
     by_key: HashMap<String, WaiterId>,
     events: BinaryHeap<Reverse<(u64, u64, Event)>>,
@@ -166,32 +165,32 @@
     outcome: Outcome,
 }
 
-/// Runs a load to its end.
+/// Runs a simulation until all jobs have ended.
 pub fn run(load: &Load) -> Outcome {
-    let mut domain = Domain::new(load);
-    domain.push(0, Event::Arrival);
-    domain.push(0, Event::Tick);
+    let mut simulation = Simulation::new(load);
+    simulation.push(0, Event::Arrival);
+    simulation.push(0, Event::Tick);
     let end_ms = load.warm_up_ms + load.arrivals_ms;
     let drained_ms = end_ms + load.timeout_ms + 10_000;
-    while let Some(Reverse((now_ms, _, event))) = domain.events.pop() {
+    while let Some(Reverse((now_ms, _, event))) = simulation.events.pop() {
         match event {
-            Event::Arrival if now_ms < end_ms => domain.arrive(now_ms),
+            Event::Arrival if now_ms < end_ms => simulation.submit_job(now_ms),
             Event::Arrival => {}
-            Event::Tick if now_ms < drained_ms => domain.tick(now_ms),
+            Event::Tick if now_ms < drained_ms => simulation.tick(now_ms),
             Event::Tick => {}
             Event::Finish {
                 instance,
                 task,
                 worker,
-                ends,
-            } => domain.finish(now_ms, instance, task, worker, ends),
+                end,
+            } => simulation.finish(now_ms, instance, task, worker, end),
         }
     }
-    domain.outcome.slowdowns.sort_by(f64::total_cmp);
-    domain.outcome
+    simulation.outcome.slowdowns.sort_by(f64::total_cmp);
+    simulation.outcome
 }
 
-impl<'a> Domain<'a> {
+impl<'a> Simulation<'a> {
     fn new(load: &'a Load) -> Self {
         let names = instance_names(load.instances);
         let mut config = config(load.workers, load.slots);
@@ -215,7 +214,7 @@
             load,
             rng: ChaCha8Rng::seed_from_u64(load.seed),
             engines: engines.collect(),
-            busy: vec![0; load.workers],
+            busy_slots: vec![0; load.workers],
             jobs: HashMap::new(),
             by_key: HashMap::new(),
             events: BinaryHeap::new(),
@@ -232,7 +231,7 @@
         self.events.push(Reverse((at_ms, self.sequence, event)));
     }
 
-    fn arrive(&mut self, now_ms: u64) {
+    fn submit_job(&mut self, now_ms: u64) {
         let tasks = self.draw_tasks();
         let run_ms: Vec<u64> = (0..tasks).map(|_| self.draw_run_ms()).collect();
         let random = self.rng.random();
@@ -241,10 +240,10 @@
         let serving = self.load.instances - usize::from(lost);
         let instance = self.rng.random_range(0..serving);
         let team = self.draw_team();
-        let counted = now_ms >= self.load.warm_up_ms;
+        let measured = now_ms >= self.load.warm_up_ms;
         self.sequence += 1;
         let waiter = WaiterId(self.sequence);
-        if counted {
+        if measured {
             self.outcome.submitted += 1;
             self.outcome.offered_ms += run_ms.iter().sum::<u64>();
         }
@@ -254,7 +253,7 @@
             submitted_ms: now_ms,
             run_ms,
             team,
-            counted,
+            measured,
         };
         self.jobs.insert(waiter, job);
         let submission = Submission {
@@ -277,7 +276,7 @@
         }
     }
 
-    /// Half the jobs have 1 to 4 tasks, four in ten 5 to 40, the rest 50 to 200.
+    /// 50% of the jobs have 1 to 4 tasks, 40% have 5 to 40, 10% have 50 to 200.
     fn draw_tasks(&mut self) -> usize {
         match self.rng.random_range(0..10) {
             0..5 => self.rng.random_range(1..=4),
@@ -293,8 +292,8 @@
         (50.0 * 20_f64.powf(self.rng.random::<f64>())) as u64
     }
 
-    /// The last instance is lost: the others divide its slots.
-    fn lose(&mut self, now_ms: u64) {
+    /// Removes the last instance; the others divide its slots.
+    fn lose_last_instance(&mut self, now_ms: u64) {
         let names = instance_names(self.load.instances - 1);
         for (instance, me) in names.iter().enumerate() {
             self.call(now_ms, instance, |engine, now, out| {
@@ -303,8 +302,8 @@
         }
         let lost = self.load.instances - 1;
         let of_lost = self.jobs.values_mut().filter(|job| job.instance == lost);
-        for job in of_lost.filter(|job| job.counted) {
-            job.counted = false;
+        for job in of_lost.filter(|job| job.measured) {
+            job.measured = false;
             self.outcome.submitted -= 1;
         }
     }
@@ -316,7 +315,7 @@
 
     fn tick(&mut self, now_ms: u64) {
         if self.load.lost_at_ms == Some(now_ms) {
-            self.lose(now_ms);
+            self.lose_last_instance(now_ms);
         }
         for instance in 0..self.load.instances {
             self.call(now_ms, instance, |engine, now, out| engine.tick(now, out));
@@ -325,7 +324,7 @@
         self.push(now_ms + TICK_MS, Event::Tick);
     }
 
-    /// Delivers an instance's messages about slots at once.
+    /// Delivers an instance's messages about slots without delay.
     fn balance(&mut self, now_ms: u64, instance: usize) {
         let mut messages = Vec::new();
         self.call(now_ms, instance, |engine, now, out| {
@@ -354,14 +353,14 @@
         }
     }
 
-    fn finish(&mut self, now_ms: u64, instance: usize, task: TaskId, worker: usize, ends: End) {
-        if ends != End::Refused {
-            self.busy[worker] -= 1;
+    fn finish(&mut self, now_ms: u64, instance: usize, task: TaskId, worker: usize, end: TaskEnd) {
+        if end != TaskEnd::Refused {
+            self.busy_slots[worker] -= 1;
         }
-        let outcome = match ends {
-            End::Done => TaskOutcome::Done(Bytes::new()),
-            End::Failed => TaskOutcome::Failed("500".to_owned()),
-            End::Refused => TaskOutcome::NotRun("503".to_owned()),
+        let outcome = match end {
+            TaskEnd::Done => TaskOutcome::Done(Bytes::new()),
+            TaskEnd::Failed => TaskOutcome::Failed("500".to_owned()),
+            TaskEnd::Refused => TaskOutcome::NotRun("503".to_owned()),
         };
         self.call(now_ms, instance, |engine, now, out| {
             engine.task_finished(now, task, outcome, out)
@@ -388,7 +387,7 @@
                     address,
                     ..
                 } => self.start(now_ms, instance, task, &key, index, &address),
-                Command::Answer { waiter, answer } => self.answered(now_ms, waiter, &answer),
+                Command::Answer { waiter, answer } => self.record_answer(now_ms, waiter, &answer),
             }
         }
     }
@@ -406,41 +405,41 @@
         self.outcome.starts += 1;
         let starts = &mut self.outcome.starts_by_worker;
         *starts.entry(address.to_owned()).or_default() += 1;
-        let (ends, ms) = self.run_task(worker, key, index);
-        match ends {
-            End::Refused => self.outcome.wasted += 1,
-            End::Done | End::Failed => self.busy[worker] += 1,
+        let (end, ms) = self.run_task(worker, key, index);
+        match end {
+            TaskEnd::Refused => self.outcome.wasted += 1,
+            TaskEnd::Done | TaskEnd::Failed => self.busy_slots[worker] += 1,
         }
         let finish = Event::Finish {
             instance,
             task,
             worker,
-            ends,
+            end,
         };
         self.push(now_ms + ms, finish);
     }
 
     /// Failing workers are the first ones, slow workers the last.
-    fn run_task(&self, worker: usize, key: &JobKey, index: u32) -> (End, u64) {
+    fn run_task(&self, worker: usize, key: &JobKey, index: u32) -> (TaskEnd, u64) {
         if worker < self.load.failing_workers {
-            return match self.load.failing_refuse {
-                true => (End::Refused, REFUSAL_MS),
-                false => (End::Failed, REFUSAL_MS),
+            return match self.load.failing_workers_refuse {
+                true => (TaskEnd::Refused, REFUSAL_MS),
+                false => (TaskEnd::Failed, REFUSAL_MS),
             };
         }
-        if self.busy[worker] >= self.load.slots {
-            return (End::Refused, REFUSAL_MS);
+        if self.busy_slots[worker] >= self.load.slots {
+            return (TaskEnd::Refused, REFUSAL_MS);
         }
         let job = self.by_key.get(key.as_str());
         let job = job.and_then(|waiter| self.jobs.get(waiter));
         let run_ms = job.map_or(1, |job| job.run_ms[index as usize]);
         let slow = worker + self.load.slow_workers >= self.load.workers;
-        (End::Done, if slow { 5 * run_ms } else { run_ms })
+        (TaskEnd::Done, if slow { 5 * run_ms } else { run_ms })
     }
 
-    fn answered(&mut self, now_ms: u64, waiter: WaiterId, answer: &JobAnswer) {
+    fn record_answer(&mut self, now_ms: u64, waiter: WaiterId, answer: &JobAnswer) {
         let job = self.jobs.remove(&waiter).expect("answered once");
-        if !job.counted {
+        if !job.measured {
             return;
         }
         let outcome = &mut self.outcome;
--- a/crates/core/tests/lending.rs
+++ b/crates/core/tests/lending.rs
@@ -7,17 +7,17 @@
 use trefoil_core::time::Now;
 
 const LOAN_MS: u64 = 1_000;
-/// Time after which a joining instance uses its share.
-const SETTLED_MS: u64 = 2_000;
+/// Longer than the delay after which a joining instance uses its share.
+const SHARE_DELAY_MS: u64 = 2_000;
 
-/// Two engines that share one worker of eight slots, four each.
-struct Pair {
+/// Two engines that share one worker with eight slots, four each.
+struct EnginePair {
     engines: [Engine; 2],
     now: Now,
     starts: [Vec<TaskId>; 2],
 }
 
-impl Pair {
+impl EnginePair {
     fn new() -> Self {
         let members = ["a".to_owned(), "b".to_owned()];
         let engines = ["a", "b"].map(|_| Engine::new(EngineSettings::default()));
@@ -37,7 +37,7 @@
                 engine.set_config(now, &declared, out);
             });
         }
-        pair.now = pair.now.plus_ms(SETTLED_MS);
+        pair.now = pair.now.plus_ms(SHARE_DELAY_MS);
         pair
     }
 
@@ -75,7 +75,8 @@
         self.call(number, |engine, now, out| engine.balance_slots(now, out))
     }
 
-    /// The borrower asks and the lender answers; tells how many slots it lent.
+    /// Sends the borrower's request and the lender's answer; returns the number of
+    /// slots lent.
     fn borrow(&mut self) -> u32 {
         let messages = self.balance(0);
         let [
@@ -99,7 +100,7 @@
         lent.iter().map(|lent| lent.slots).sum()
     }
 
-    fn give_back(&mut self) -> u32 {
+    fn return_slots(&mut self) -> u32 {
         let mut returned = 0;
         for message in self.balance(0) {
             let SlotMessageBody::Return(slots) = message.body else {
@@ -116,33 +117,37 @@
 
 #[test]
 fn half_of_the_free_slots_are_lent_and_returned_when_idle() {
-    let mut pair = Pair::new();
+    let mut pair = EnginePair::new();
     pair.submit(0, 6, "six");
     assert_eq!(pair.starts[0].len(), 4);
     assert_eq!(pair.borrow(), 2);
     assert_eq!(pair.starts[0].len(), 6);
     assert!(pair.balance(0).is_empty());
     pair.submit(1, 4, "four");
-    assert_eq!(pair.starts[1].len(), 2, "lent slots are not the lender's");
+    assert_eq!(
+        pair.starts[1].len(),
+        2,
+        "lent slots must not be used by the lender"
+    );
     pair.finish_one(0);
-    assert_eq!(pair.give_back(), 1);
+    assert_eq!(pair.return_slots(), 1);
     assert_eq!(pair.starts[1].len(), 3);
 }
 
 #[test]
-fn nothing_is_lent_while_tasks_wait() {
-    let mut pair = Pair::new();
+fn nothing_is_lent_while_tasks_are_queued() {
+    let mut pair = EnginePair::new();
     pair.submit(0, 6, "six");
     pair.submit(1, 5, "five");
     assert_eq!(pair.borrow(), 0);
-    assert!(pair.balance(0).is_empty(), "the peer is left alone a while");
+    assert!(pair.balance(0).is_empty(), "no request during the backoff");
     pair.now = pair.now.plus_ms(50);
     assert_eq!(pair.balance(0).len(), 1);
 }
 
 #[test]
-fn a_loan_that_is_over_gets_no_new_task() {
-    let mut pair = Pair::new();
+fn an_expired_loan_gets_no_new_tasks() {
+    let mut pair = EnginePair::new();
     pair.submit(0, 8, "eight");
     assert_eq!(pair.borrow(), 2);
     assert_eq!(pair.starts[0].len(), 6);
@@ -150,15 +155,15 @@
     pair.balance(0);
     pair.finish_one(0);
     pair.finish_one(0);
-    assert_eq!(pair.starts[0].len(), 4, "as many as the share");
+    assert_eq!(pair.starts[0].len(), 4, "as many as the share allows");
     let returned = pair.balance(0);
     let is_return = |message: &SlotMessage| matches!(message.body, SlotMessageBody::Return(_));
     assert!(returned.iter().any(is_return), "{returned:?}");
 }
 
 #[test]
-fn slots_never_returned_come_back_to_the_lender() {
-    let mut pair = Pair::new();
+fn slots_that_are_never_returned_are_reclaimed() {
+    let mut pair = EnginePair::new();
     pair.submit(0, 6, "six");
     assert_eq!(pair.borrow(), 2);
     pair.submit(1, 4, "four");
--- a/crates/core/tests/session.rs
+++ b/crates/core/tests/session.rs
@@ -1,4 +1,4 @@
-//! A whole session in virtual time, exact to the command.
+//! Golden test of all commands of a session in virtual time.
 
 mod engine_support;
 
@@ -10,29 +10,29 @@
 use trefoil_core::engine::*;
 use trefoil_core::key::JobKey;
 
-/// Writes every command of a session down.
+/// Logs every command of a session.
 struct Session {
-    bench: EngineHarness,
+    harness: EngineHarness,
     log: String,
 }
 
 impl Session {
     fn new() -> Self {
         Self {
-            bench: EngineHarness::new(EngineSettings::default(), 2, 1),
+            harness: EngineHarness::new(EngineSettings::default(), 2, 1),
             log: String::new(),
         }
     }
 
     fn step(&mut self, title: &str, act: impl FnOnce(&mut EngineHarness)) {
-        let started = self.bench.starts.len();
-        act(&mut self.bench);
-        let at_ms = self.bench.now.mono_ms;
+        let started = self.harness.starts.len();
+        act(&mut self.harness);
+        let at_ms = self.harness.now.mono_ms;
         writeln!(self.log, "{at_ms} ms: {title}").unwrap();
         for start in self
-            .bench
+            .harness
             .starts
-            .range(started.min(self.bench.starts.len())..)
+            .range(started.min(self.harness.starts.len())..)
         {
             let Start {
                 key,
@@ -43,21 +43,25 @@
             } = start;
             writeln!(self.log, "  start {key}/{index}/{attempt} on {worker:?}").unwrap();
         }
-        for (waiter, answer) in self.bench.answers.drain(..) {
+        for (waiter, answer) in self.harness.answers.drain(..) {
             writeln!(self.log, "  {waiter:?}: {}", text(&answer)).unwrap();
         }
     }
 
-    /// The oldest placement out ends.
+    /// Ends the oldest running placement.
     fn finish(&mut self, title: &str, outcome: TaskOutcome) {
-        let start = self.bench.starts.pop_front().expect("a placement is out");
-        self.step(title, |bench| bench.finish(start.task, outcome));
+        let start = self
+            .harness
+            .starts
+            .pop_front()
+            .expect("a placement is running");
+        self.step(title, |harness| harness.finish(start.task, outcome));
     }
 
     fn submit(&mut self, title: &str, key: &JobKey, tasks: usize, timeout_ms: u64) {
         let submission = submission(key, tasks, timeout_ms);
-        self.step(title, |bench| {
-            bench.submit(submission, true);
+        self.step(title, |harness| {
+            harness.submit(submission, true);
         });
     }
 }
@@ -94,40 +98,42 @@
     session.submit("submit pay, 3 tasks", &pay, 3, 5000);
     session.submit("submit check, 1 task", &check, 1, 5000);
     session.submit("submit pay again", &pay, 3, 5000);
-    session.bench.advance_ms(200);
+    session.harness.advance_ms(200);
     session.finish(
         "a worker refuses pay/0",
         TaskOutcome::NotRun("503".to_owned()),
     );
     session.finish("pay/1 is done", done("one"));
-    session.bench.advance_ms(100);
-    session.step("time passes", |bench| bench.advance_ms(100));
-    while !session.bench.starts.is_empty() {
-        let index = session.bench.starts[0].index;
+    session.harness.advance_ms(100);
+    session.step("time passes", |harness| harness.advance_ms(100));
+    while !session.harness.starts.is_empty() {
+        let index = session.harness.starts[0].index;
         session.finish(&format!("a task of index {index} is done"), done("result"));
     }
     session.submit("submit pay a third time", &pay, 3, 5000);
-    session.step("submit pay with another body", |bench| {
+    session.step("submit pay with another body", |harness| {
         let other = Submission {
             fingerprint: 8,
             ..submission(&pay, 3, 5000)
         };
-        bench.submit(other, true);
+        harness.submit(other, true);
     });
     session.submit("submit what cannot be in time", &key(0, "tight"), 100, 300);
     let lost = key(0, "lost");
     session.submit("submit lost, 1 task", &lost, 1, 5000);
-    session.step("fetch lost", |bench| {
-        bench.fetch(&lost, false);
+    session.step("fetch lost", |harness| {
+        harness.fetch(&lost, false);
     });
-    session.step("start to leave", |bench| bench.engine.set_leaving(true));
+    session.step("start to leave", |harness| harness.engine.set_leaving(true));
     session.submit("submit a new key", &key(0, "new"), 1, 5000);
     session.submit("submit lost again", &lost, 1, 5000);
     session.finish(
         "no answer for lost/0",
         TaskOutcome::MayHaveRun("reset".to_owned()),
     );
-    session.step("the key window passes", |bench| bench.advance_ms(600_001));
+    session.step("the key window passes", |harness| {
+        harness.advance_ms(600_001)
+    });
     session.submit("submit pay after its window", &pay, 3, 5000);
     expect![[r#"
         1000 ms: submit pay, 3 tasks
