--- a/crates/core/src/engine.rs
+++ b/crates/core/src/engine.rs
@@ -35,7 +35,7 @@
 use trefoil_schema::resources::TeamSpec;
 
 pub use command::{Command, JobAnswer, JobState, Refusal, RefusalReason};
-pub use event::{Submission, Task, TaskId, TaskOutcome, WaiterId, Worker, WorkerId};
+pub use event::{Submission, Task, TaskId, TaskOutcome, WaiterId, WorkerId};
 pub use failure::FailureReason;
 pub use lending::{SlotMessage, SlotMessageBody, WorkerSlots};
 pub use remembered::{RememberedJob, RememberedJobs};
--- a/crates/core/src/engine/event.rs
+++ b/crates/core/src/engine/event.rs
@@ -45,8 +45,7 @@
 
 /// A declared worker of this failure domain.
 #[derive(Clone, Debug, PartialEq, Eq)]
-#[expect(missing_docs, reason = "fields explain themselves")]
-pub struct Worker {
+pub(crate) struct Worker {
     /// Name of the backend server resource.
     pub name: Arc<str>,
     pub service: Arc<str>,
--- a/crates/core/src/engine/pool/admit.rs
+++ b/crates/core/src/engine/pool/admit.rs
@@ -16,8 +16,8 @@
 use crate::key::JobKey;
 use crate::time::Now;
 
-/// A job's rank is its arrival time plus its size times this factor, which limits
-/// how long smaller jobs can overtake it.
+/// Weight of a job's size in its rank; limits how long smaller jobs can overtake
+/// it.
 const SIZE_WEIGHT: f64 = 64.0;
 /// Time without a result after which the run time estimates are stale.
 const STALE_MS: u64 = 1000;
--- a/crates/core/src/engine/worker_set.rs
+++ b/crates/core/src/engine/worker_set.rs
@@ -18,7 +18,7 @@
 /// that instance's running tasks finish first.
 const SHARE_GAIN_DELAY_MS: u64 = 1000;
 
-/// A worker as this instance sees it.
+/// A worker with its slots and placements on this instance.
 #[derive(Debug)]
 pub(crate) struct WorkerState {
     pub worker: Worker,
@@ -127,10 +127,10 @@
             );
         }
         self.workers.retain(|_, state| !state.is_unused());
-        self.recompute(now_ms, run_log2);
+        self.recompute_totals(now_ms, run_log2);
     }
 
-    fn recompute(&mut self, now_ms: u64, run_log2: f64) {
+    fn recompute_totals(&mut self, now_ms: u64, run_log2: f64) {
         self.ready.clear();
         for state in self.workers.values_mut() {
             state.ready_key = None;
