--- a/crates/core/tests/engine_policy.rs
+++ b/crates/core/tests/engine_policy.rs
@@ -157,7 +157,7 @@
     let last_blue = order
         .enumerate()
         .filter(|(_, waiter)| blue.contains(waiter));
-    let last_blue = last_blue.map(|(place, _)| place).max().unwrap();
+    let last_blue = last_blue.map(|(position, _)| position).max().unwrap();
     assert!(last_blue < 40, "{last_blue} of 210");
 }
 
