--- a/crates/core/src/engine/loans.rs
+++ b/crates/core/src/engine/loans.rs
@@ -1,4 +1,4 @@
-//! The engine's part in loans of slots: pools by service, workers by name.
+//! Loans of slots: resolves service and worker names for the pools.
 
 use std::sync::Arc;
 
@@ -8,14 +8,15 @@
 use crate::time::Now;
 
 impl Engine {
-    /// Returns idle borrowed slots and asks for those that lack; to be called
-    /// as often as [`Self::tick`], by an instance that has peers.
-    pub fn balance(&self, now: Now, out: &mut Vec<Command>) -> Vec<SlotMessage> {
+    /// Returns idle borrowed slots and requests loans for queued tasks.
+    ///
+    /// An instance with peers calls this as often as [`Self::tick`].
+    pub fn balance_slots(&self, now: Now, out: &mut Vec<Command>) -> Vec<SlotMessage> {
         let registry = self.registry();
         let mut messages = Vec::new();
         for (service, pool) in registry.services() {
-            let news = pool.lock().balance(now, out);
-            messages.extend(news.into_iter().map(|(to, body)| SlotMessage {
+            let pool_messages = pool.lock().balance(now, out);
+            messages.extend(pool_messages.into_iter().map(|(to, body)| SlotMessage {
                 to,
                 service: Arc::clone(service),
                 body,
@@ -24,8 +25,15 @@
         messages
     }
 
-    /// Answers a peer that asks for slots; nothing is lent while tasks wait.
-    pub fn lend(&self, now: Now, borrower: &str, service: &str, slots: u32) -> Vec<WorkerSlots> {
+    /// Answers a peer's request for slots; empty while tasks of the service are
+    /// queued here.
+    pub fn lend_slots(
+        &self,
+        now: Now,
+        borrower: &str,
+        service: &str,
+        slots: u32,
+    ) -> Vec<WorkerSlots> {
         let registry = self.registry();
         let Some(pool) = registry.pool(service) else {
             return Vec::new();
@@ -33,7 +41,7 @@
         pool.lock().lend(now, borrower, slots)
     }
 
-    /// Takes a peer's answer, which may lend nothing.
+    /// Processes a peer's answer to a request; `lent` may be empty.
     pub fn borrow_slots(
         &self,
         now: Now,
@@ -55,8 +63,8 @@
         pool.lock().borrow(now, lender, known, loan_ms, out);
     }
 
-    /// Takes back what a borrower returns.
-    pub fn take_back_slots(
+    /// Takes back slots that a borrower returned.
+    pub fn reclaim_slots(
         &self,
         now: Now,
         borrower: &str,
@@ -73,6 +81,6 @@
             Some((id, slots.slots))
         });
         let known: Vec<_> = known.collect();
-        pool.lock().take_back(now, borrower, &known, out);
+        pool.lock().reclaim(now, borrower, &known, out);
     }
 }
--- a/crates/core/src/engine/remembered.rs
+++ b/crates/core/src/engine/remembered.rs
@@ -1,4 +1,4 @@
-//! Memory of ended jobs that passes from instance to instance.
+//! Transfer of ended jobs between instances.
 
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
@@ -10,49 +10,51 @@
 use crate::key::JobKey;
 use crate::time::Now;
 
-/// An ended job as one instance hands it to another.
+/// An ended job as transferred to another instance.
 #[derive(Clone, Debug)]
+#[expect(missing_docs, reason = "the field explains itself")]
 pub struct RememberedJob {
-    /// Its key.
     pub key: JobKey,
-    /// Hash of its body.
+    /// Hash of the submission's body.
     pub fingerprint: u64,
-    /// How it ended; always [`JobAnswer::Known`].
+    /// Always [`JobAnswer::Known`].
     pub answer: JobAnswer,
 }
 
-/// All that an instance remembers.
+/// The ended jobs that an instance remembers.
 #[derive(Clone, Debug, Default)]
-pub struct Memory {
-    /// Ended jobs, newest keys first.
+pub struct RememberedJobs {
+    /// Sorted by issue time, newest first.
     pub jobs: Vec<RememberedJob>,
-    /// Keys issued before this time may have been forgotten, Unix milliseconds.
+    /// Keys issued before this time may be missing, Unix milliseconds.
     pub from_ms: u64,
 }
 
 impl Engine {
-    /// All that is remembered, for the instances that answer for these keys
-    /// next; `None` while new keys are taken or a job runs.
+    /// Returns all remembered jobs, for the instances that will own these keys.
+    /// `None` unless the instance is leaving and no job runs.
     ///
-    /// After `Some`, no key is admitted any more: each shard is read under its
-    /// lock, and whoever admits checks under it that the instance stays.
-    pub fn memory(&self, now: Now) -> Option<Memory> {
+    /// After `Some`, no key is admitted any more: admission checks under the
+    /// shard lock whether the instance is leaving, and the shards are read under
+    /// the same locks.
+    pub fn remembered_jobs(&self, now: Now) -> Option<RememberedJobs> {
         if !self.leaving.load(Ordering::Acquire) {
             return None;
         }
-        let mut memory = Memory::default();
+        let mut remembered = RememberedJobs::default();
         for shard in &self.shards {
             let mut shard = lock(shard);
             shard.raise_horizon(self.horizon_ms(now));
-            memory.from_ms = memory.from_ms.max(shard.horizon_ms());
-            shard.copy_ended(&mut memory.jobs)?;
+            remembered.from_ms = remembered.from_ms.max(shard.horizon_ms());
+            shard.copy_ended(&mut remembered.jobs)?;
         }
         let newest_first = |job: &RememberedJob| std::cmp::Reverse(job.key.issued_ms());
-        memory.jobs.sort_by_key(newest_first);
-        Some(memory)
+        remembered.jobs.sort_by_key(newest_first);
+        Some(remembered)
     }
 
-    /// Remembers a job that another instance ran; false where there is no room.
+    /// Adds a job that another instance ran; false if the limit of keys is
+    /// reached.
     pub fn remember(&self, now: Now, job: RememberedJob) -> bool {
         let RememberedJob {
             key,
@@ -80,14 +82,16 @@
         true
     }
 
-    /// Answers for a key that this instance may never start: from memory, or
-    /// with `absent`. A submission gives its body's `fingerprint`.
-    pub fn recall(
+    /// Answers a request for a key that this instance must never start: with
+    /// the remembered job, or with `not_found`.
+    ///
+    /// A submission passes its body's `fingerprint`; other requests pass `None`.
+    pub fn answer_without_admission(
         &self,
         now: Now,
         key: &JobKey,
         fingerprint: Option<u64>,
-        absent: Refusal,
+        not_found: Refusal,
         waiter: WaiterId,
         out: &mut Vec<Command>,
     ) {
@@ -97,7 +101,7 @@
         let Some(entry) = shard.get(key) else {
             let refusal = match expired {
                 true => refusal::key_expired(),
-                false => absent,
+                false => not_found,
             };
             return self.refuse(waiter, refusal, out);
         };
--- a/crates/core/src/engine/retry_budget.rs
+++ b/crates/core/src/engine/retry_budget.rs
@@ -1,38 +1,38 @@
-//! How many placements may be repeated, as a share of first ones.
+//! Limit on retries as a percentage of first placements.
 
-/// Hundredths of a retry allowed before any first start.
-const INITIAL_CENTIRETRIES: u64 = 10 * CENTIRETRIES;
-/// Most hundredths of a retry saved up.
-const SAVED_CENTIRETRIES_MAX: u64 = 200 * CENTIRETRIES;
-/// Hundredths in one retry.
-const CENTIRETRIES: u64 = 100;
+/// Initial tokens, for retries before many first starts.
+const INITIAL_CENTITOKENS: u64 = 10 * CENTITOKENS_PER_RETRY;
+/// Capacity of the bucket.
+const CENTITOKENS_MAX: u64 = 200 * CENTITOKENS_PER_RETRY;
+/// Cost of one retry.
+const CENTITOKENS_PER_RETRY: u64 = 100;
 
-/// A token bucket that first starts fill and retries empty.
+/// A token bucket, filled by first starts and drained by retries.
 #[derive(Debug)]
 pub(crate) struct RetryBudget {
-    centiretries: u64,
+    centitokens: u64,
     percent: u64,
 }
 
 impl RetryBudget {
-    /// Allows `percent` retries for every hundred first starts.
+    /// Allows `percent` retries per hundred first starts; none if it is 0.
     pub fn new(percent: u32) -> Self {
         Self {
-            centiretries: INITIAL_CENTIRETRIES,
+            centitokens: INITIAL_CENTITOKENS,
             percent: u64::from(percent),
         }
     }
 
-    /// Counts a first start.
+    /// Adds the tokens of a first start.
     pub fn first_start(&mut self) {
-        self.centiretries = (self.centiretries + self.percent).min(SAVED_CENTIRETRIES_MAX);
+        self.centitokens = (self.centitokens + self.percent).min(CENTITOKENS_MAX);
     }
 
-    /// Takes a retry if one is left.
+    /// Takes the tokens of one retry; false if there are too few.
     pub fn try_retry(&mut self) -> bool {
-        let allowed = self.percent > 0 && self.centiretries >= CENTIRETRIES;
+        let allowed = self.percent > 0 && self.centitokens >= CENTITOKENS_PER_RETRY;
         if allowed {
-            self.centiretries -= CENTIRETRIES;
+            self.centitokens -= CENTITOKENS_PER_RETRY;
         }
         allowed
     }
