--- a/src/peers.rs
+++ b/src/peers.rs
@@ -1,25 +1,21 @@
-//! One instance among others.
+//! Cooperation with the other instances.
 //!
-//! Every job key has one owner (see [`trefoil_core::view`]); an instance that
-//! takes a request for another's key hands it over and passes the answer back.
-//! A job therefore lives in one place, with its state, its order and its
-//! cancellation, and no two instances need to agree on anything for each job.
-//! The price is one message each way for the jobs that arrive elsewhere; the
-//! other way that was weighed, to ask the owner for the claim only and to run
-//! the job where it arrived, saves the payload's way and splits the state (see
-//! `docs/design/at-most-once.md`).
+//! Each job key has one owner (see [`trefoil_core::view`]). An instance that receives
+//! a request for another owner's key forwards it and returns the owner's answer, so
+//! that all state of a job is on one instance, and instances need not agree on single
+//! jobs. `docs/design/at-most-once.md` has the alternatives.
 //!
-//! * [`driver`]: the shell round the membership decisions.
-//! * [`forward`]: requests to a key's owner.
+//! * [`driver`]: input and output of the membership state machine.
+//! * [`forward`]: requests to the owner of a key.
 //! * [`lending`]: loans of task slots.
-//! * [`serve`]: requests from other instances.
-//! * [`handover`]: a leaving instance's memory, sent and taken over.
-//! * [`parts`]: that memory in parts of bounded size.
-//! * [`recall`]: keys whose owner is gone.
-//! * [`pending`]: who waits for which answer.
-//! * [`record`]: a failure domain's views as the store keeps them.
-//! * [`counters`]: messages that brought no answer.
-//! * [`convert`]: between the engine's types and messages.
+//! * [`serve`]: messages from other instances.
+//! * [`handover`]: transfer of a leaving instance's remembered jobs.
+//! * [`parts`]: splits remembered jobs into messages of limited size.
+//! * [`recall`]: requests for keys whose owner is gone.
+//! * [`pending`]: requests that wait for an answer.
+//! * [`record`]: stored format of a failure domain's views.
+//! * [`counters`]: counters of wasted messages.
+//! * [`convert`]: conversions between engine types and messages.
 
 pub mod convert;
 pub mod counters;
@@ -61,61 +57,57 @@
 pub use handover::HandoverReport;
 use pending::PendingTable;
 
-/// Part of the store's keys that holds view logs, after the prefix.
+/// Follows the configured prefix in the store's keys of view logs.
 const VIEWS_PART: &str = "views/";
 
-/// Why the links cannot be started.
+/// Error at the start of [`Peers`].
 #[derive(Debug, Display, Error)]
 pub enum PeersError {
-    /// The peer address is no IP:PORT.
+    /// `peer_address` is not IP:PORT.
     #[display("peer_address {address} is not IP:PORT")]
     Address {
-        /// What was set.
+        /// The configured address.
         address: String,
     },
     /// The peer address cannot be listened on.
     #[display("cannot listen for peers on {address}: {source}; hint: check peer_address")]
     Listen {
-        /// The address asked for.
+        /// The configured address.
         address: String,
-        /// What went wrong.
+        /// Error of the links.
         source: LinkError,
     },
 }
 
-/// What an instance needs to take part.
+/// Dependencies of [`Peers`].
+#[expect(missing_docs, reason = "most fields explain themselves")]
 pub struct PeersContext {
-    /// The checked settings.
+    /// The validated settings.
     pub settings: Settings,
-    /// The platform's store.
     pub store: Arc<dyn PlatformStore>,
-    /// The platform's list of instances.
     pub instances: InstanceList,
-    /// Whether that list is to be read; set here.
+    /// Whether `instances` is polled; set by [`Peers`].
     pub list_polling: watch::Sender<bool>,
-    /// The configuration in force here.
     pub config: ConfigHandle,
-    /// The engine of this instance.
     pub runtime: Arc<Runtime>,
-    /// Counts what a planned stop waits for.
+    /// Counts the requests that a planned stop waits for.
     pub stop: Arc<StopControl>,
-    /// The root logger.
     pub log: Logger,
 }
 
-/// This instance's part in the deployment.
+/// This instance as a member of its deployment.
 pub struct Peers {
-    me: Member,
+    local_member: Member,
     domain: String,
     views_prefix: String,
     connections_max: u32,
-    /// Addresses dialled whatever is told, by name.
+    /// Configured addresses of instances, by name; they override advertised ones.
     dial_addresses: HashMap<String, SocketAddr>,
     membership: Mutex<Membership>,
     links: Links,
     pending: PendingTable,
-    /// Whether this instance reads the store for its failure domain.
-    watches: AtomicBool,
+    /// Whether this instance watches the store for its failure domain.
+    watches_store: AtomicBool,
     counters: PeerCounters,
     acks: Mutex<AckTable>,
     scopes: Mutex<Scopes>,
@@ -123,20 +115,21 @@
 }
 
 impl Peers {
-    /// Listens for peers, and takes part until the process ends.
+    /// Listens for peers and starts the background tasks, which run until the process
+    /// ends.
     ///
     /// # Errors
     ///
-    /// The peer address cannot be listened on.
+    /// Fails if the peer address is invalid or cannot be listened on.
     pub fn start(context: PeersContext) -> Result<Arc<Self>, PeersError> {
         let settings = &context.settings;
-        let me = Member::new(&settings.instance, context.runtime.now().wall_ms);
+        let local_member = Member::new(&settings.instance, context.runtime.now().wall_ms);
         let address = settings.peer_address.clone();
         let listen = address.parse().map_err(|_| PeersError::Address {
             address: address.clone(),
         })?;
         let link_settings = LinkSettings {
-            local_instance: (&me).into(),
+            local_instance: (&local_member).into(),
             listen,
             ..LinkSettings::default()
         };
@@ -147,23 +140,23 @@
             views_prefix: format!("{}{VIEWS_PART}", settings.platform.prefix),
             connections_max: settings.workers.connections_max,
             dial_addresses: dial_addresses(settings),
-            membership: Mutex::new(membership(&me, settings)),
-            me,
+            membership: Mutex::new(membership(&local_member, settings)),
+            local_member,
             links,
             pending: PendingTable::default(),
-            watches: AtomicBool::new(true),
+            watches_store: AtomicBool::new(true),
             counters: PeerCounters::default(),
             acks: Mutex::default(),
             scopes: Mutex::default(),
             context,
         });
         tokio::spawn(Arc::clone(&peers).receive(incoming));
-        tokio::spawn(Arc::clone(&peers).drive());
-        tokio::spawn(Arc::clone(&peers).balance_forever());
+        tokio::spawn(Arc::clone(&peers).run_membership());
+        tokio::spawn(Arc::clone(&peers).run_slot_balancing());
         Ok(peers)
     }
 
-    /// Where a submission under `key` belongs now.
+    /// Returns where a submission with `key` is to be sent.
     pub fn route(&self, key: &JobKey) -> Route {
         let route = self.membership().route(key);
         match route {
@@ -172,52 +165,53 @@
         }
     }
 
-    /// Whether all that a key's owner knew was handed to this instance. Such
-    /// an owner takes no job any more, though its last heartbeat is recent and
-    /// its word that it ends may be late or lost.
+    /// Whether this instance has taken over all remembered jobs of the key's owner.
+    /// Such an owner accepts no more jobs, even if its last heartbeat is recent and
+    /// its departure message is delayed or lost.
     fn has_taken_over(&self, key: &JobKey) -> bool {
         let succession = self.membership().succession(key);
         succession.is_some_and(|(succession, version)| {
-            let mine = succession.holder == self.me;
+            let is_successor = succession.holder == self.local_member;
             let absence = self.scopes().absence(key, &succession, version);
-            mine && absence == Absence::NeverStarted
+            is_successor && absence == Absence::NeverStarted
         })
     }
 
-    /// Whether the newest view has this instance.
+    /// Whether the newest view contains this instance.
     pub fn in_view(&self) -> bool {
         self.membership().in_force()
     }
 
-    /// Hands this instance's keys over; it goes on answering for old ones.
+    /// Starts to leave: new keys go to other instances, while requests for existing
+    /// keys are still answered.
     pub fn leave(self: &Arc<Self>) {
         self.handle(Event::Leave);
     }
 
-    /// The links, for their counters.
+    /// Links to the other instances.
     pub fn links(&self) -> &Links {
         &self.links
     }
 
-    /// Counts of messages that brought no answer.
+    /// Counters of wasted messages.
     pub fn counters(&self) -> &PeerCounters {
         &self.counters
     }
 
-    /// How far the key issue times that may be admitted reach beyond now, in
-    /// milliseconds.
+    /// How far in the future the issue time of an admitted key may be, in
+    /// milliseconds; negative if the admission limit has passed.
     pub fn admission_lead_ms(&self) -> i64 {
         let limit_ms = self.membership().admission_limit();
         let now_ms = self.context.runtime.now().wall_ms;
         i64::try_from(i128::from(limit_ms) - i128::from(now_ms)).unwrap_or(i64::MAX)
     }
 
-    /// Version of the newest view of the own failure domain.
+    /// Version of the newest view of this instance's failure domain.
     pub fn view_version(&self) -> u64 {
         newest_version(&self.membership(), &self.domain)
     }
 
-    /// The deployment as this instance sees it.
+    /// Status of the deployment as known to this instance.
     pub fn status(&self) -> StatusResponse {
         let config_revision = self.context.config.current().revision;
         let membership = self.membership();
@@ -226,10 +220,10 @@
         let leaving = membership.leaving();
         drop(membership);
         let mut instances: Vec<InstanceStatus> = others.into_iter().map(instance_status).collect();
-        instances.push(self.own_status(config_revision, leaving));
+        instances.push(self.local_status(config_revision, leaving));
         instances.sort_by(|a, b| a.instance.cmp(&b.instance));
         StatusResponse {
-            instance: self.me.name.clone(),
+            instance: self.local_member.name.clone(),
             config_revision,
             store_reachable: self.context.config.store_reachable(),
             view_version,
@@ -237,14 +231,14 @@
         }
     }
 
-    fn own_status(&self, config_revision: u64, leaving: bool) -> InstanceStatus {
+    fn local_status(&self, config_revision: u64, leaving: bool) -> InstanceStatus {
         let state = match leaving {
             true => InstanceStateName::Leaving,
             false => InstanceStateName::Serving,
         };
         InstanceStatus {
-            instance: self.me.name.clone(),
-            incarnation: self.me.incarnation,
+            instance: self.local_member.name.clone(),
+            incarnation: self.local_member.incarnation,
             failure_domain: self.domain.clone(),
             state,
             config_revision,
@@ -260,10 +254,10 @@
         self.scopes.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Where to dial an instance that is said to be at `told`.
-    fn dial_address(&self, member: &Member, told: &str) -> Option<SocketAddr> {
-        let set = self.dial_addresses.get(&member.name).copied();
-        set.or_else(|| told.parse().ok())
+    /// Returns the configured address of an instance, or else its advertised one.
+    fn dial_address(&self, member: &Member, advertised: &str) -> Option<SocketAddr> {
+        let configured = self.dial_addresses.get(&member.name).copied();
+        configured.or_else(|| advertised.parse().ok())
     }
 
     fn membership(&self) -> MutexGuard<'_, Membership> {
@@ -287,12 +281,12 @@
     parsed.collect()
 }
 
-fn membership(me: &Member, settings: &Settings) -> Membership {
+fn membership(local_member: &Member, settings: &Settings) -> Membership {
     let params = MembershipParams::new(&settings.membership, &settings.jobs);
     let domains = &settings.failure_domains;
     Membership::new(
         params,
-        me.clone(),
+        local_member.clone(),
         &settings.failure_domain,
         domains,
         &settings.peer_address,
--- a/src/peers/convert.rs
+++ b/src/peers/convert.rs
@@ -1,7 +1,7 @@
-//! Between the engine's types and the messages on the links.
+//! Conversions between the engine's types and messages between instances.
 //!
-//! A name that this version does not know decodes to the most cautious value:
-//! an unknown reason to `answer_lost`, an unknown verdict to `may_have_run`.
+//! Values that this version does not know are decoded as the safe choice: an unknown
+//! reason as `answer_lost`, an unknown verdict as `may_have_run`.
 
 use std::sync::Arc;
 
@@ -16,18 +16,18 @@
 
 use crate::runtime::dispatch::fingerprint;
 
-/// Reason of a failure that this version does not know.
+/// Replaces a failure reason that this version does not know.
 pub const FAILURE_UNKNOWN: &str = "failed";
 
-/// A message that cannot be acted on.
+/// Error in a received message.
 #[derive(Clone, Debug, Display, Error)]
 pub enum DecodeError {
-    /// The key is none.
-    #[display("a forwarded job has no valid key")]
+    /// The key is invalid.
+    #[display("the key of a forwarded job is invalid")]
     Key(KeyError),
 }
 
-/// The message that hands a submission to its owner.
+/// Encodes a submission for the owner of its key.
 pub fn forward_job(
     request_id: u64,
     submission: &Submission,
@@ -53,7 +53,7 @@
     }
 }
 
-/// The submission behind a forwarded job.
+/// Decodes the submission of a forwarded job.
 pub fn submission(job: peer::ForwardJob) -> Result<Submission, DecodeError> {
     let key = JobKey::parse(&job.key).map_err(DecodeError::Key)?;
     let tasks: Vec<Task> = job.tasks.into_iter().map(task).collect();
@@ -74,9 +74,9 @@
     }
 }
 
-/// The message that carries an answer back.
+/// Encodes an answer.
 pub fn answer_message(request_id: u64, key: &str, answer: &JobAnswer) -> peer::JobAnswer {
-    let blank = peer::JobAnswer {
+    let empty = peer::JobAnswer {
         request_id,
         key: key.to_owned(),
         ..Default::default()
@@ -100,7 +100,7 @@
             replayed: *replayed,
             tasks_done: *tasks_done,
             tasks_total: *tasks_total,
-            ..blank
+            ..empty
         },
         JobAnswer::Refused(refusal) => peer::JobAnswer {
             state: peer::JobState::Refused as i32,
@@ -108,12 +108,12 @@
             reason: refusal.reason.to_string(),
             detail: refusal.detail.clone(),
             retry_after_ms: refusal.retry_after_ms,
-            ..blank
+            ..empty
         },
     }
 }
 
-/// The answer behind a message.
+/// Decodes an answer.
 pub fn answer(message: peer::JobAnswer) -> JobAnswer {
     let verdict = verdict_from_wire(message.verdict());
     let Some(state) = state_from_wire(message.state()) else {
@@ -183,7 +183,7 @@
     }
 }
 
-/// A remembered job as it is handed over.
+/// Encodes a remembered job for the handover.
 pub fn remembered_key(job: &RememberedJob) -> peer::RememberedKey {
     peer::RememberedKey {
         fingerprint: job.fingerprint,
@@ -191,22 +191,23 @@
     }
 }
 
-/// The job behind a key handed over; its results no longer share the memory of
-/// their frame. `None` where the message makes no sense.
+/// Decodes a remembered job; `None` if it is invalid. Results are copied, so that they
+/// do not keep the received frame in memory.
 pub fn remembered_job(message: peer::RememberedKey) -> Option<RememberedJob> {
-    let mut ended = message.answer?;
-    let key = JobKey::parse(&ended.key).ok()?;
-    for result in &mut ended.results {
+    let mut encoded = message.answer?;
+    let key = JobKey::parse(&encoded.key).ok()?;
+    for result in &mut encoded.results {
         *result = Bytes::copy_from_slice(result);
     }
     Some(RememberedJob {
         key,
         fingerprint: message.fingerprint,
-        answer: answer(ended),
+        answer: answer(encoded),
     })
 }
 
-/// The answer without results: a job that completed says that they are gone.
+/// Removes the results from an answer. A completed job becomes a failed one with the
+/// reason `result_dropped`.
 pub fn without_results(answer: &JobAnswer) -> JobAnswer {
     match answer.clone() {
         JobAnswer::Known {
--- a/src/peers/counters.rs
+++ b/src/peers/counters.rs
@@ -1,4 +1,4 @@
-//! Counts of messages between instances that brought no answer.
+//! Counters of wasted messages between instances.
 
 use std::sync::atomic::{AtomicU64, Ordering};
 
@@ -11,17 +11,17 @@
 }
 
 impl PeerCounters {
-    /// Jobs that came here and belong elsewhere.
+    /// Forwarded jobs that this instance does not own.
     pub fn misrouted(&self) -> u64 {
         self.misrouted.load(Ordering::Relaxed)
     }
 
-    /// Requests sent to a key's owner once more.
+    /// Repeated requests to the owner of a key.
     pub fn reasked(&self) -> u64 {
         self.reasked.load(Ordering::Relaxed)
     }
 
-    /// Answers that nobody waits for: late or doubled.
+    /// Answers without an open request: late or duplicate ones.
     pub fn stale_answers(&self) -> u64 {
         self.stale_answers.load(Ordering::Relaxed)
     }
--- a/src/peers/driver.rs
+++ b/src/peers/driver.rs
@@ -1,5 +1,5 @@
-//! The shell round the membership decisions: time, links, store and list in,
-//! commands out.
+//! Runs the membership state machine: passes it ticks, messages, store results and
+//! the instance list, and executes its commands.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -17,16 +17,16 @@
 use crate::sources::instances::PlatformInstance;
 use crate::sources::platform::{CasResult, StoreError};
 
-/// Heartbeat periods between probes of silent peers.
-const PERIODS_PER_PROBE: u64 = 4;
-/// Longest wait for a probe's connection.
+/// Number of ticks between probes of silent peers.
+const TICKS_PER_PROBE: u64 = 4;
+/// Connect timeout of a probe.
 const PROBE_TIMEOUT: Duration = Duration::from_millis(500);
-/// Instances of a failure domain that hold a watch on the configuration.
+/// Number of instances of a failure domain that watch the configuration.
 const WATCHERS: usize = 2;
 
 impl Peers {
-    /// Ticks, and passes on the platform's list, until the process ends.
-    pub(super) async fn drive(self: Arc<Self>) {
+    /// Sends ticks and changes of the instance list until the process ends.
+    pub(super) async fn run_membership(self: Arc<Self>) {
         let period = Duration::from_millis(self.context.settings.membership.heartbeat_ms.max(1));
         let mut ticks = tokio::time::interval(period);
         ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
@@ -41,8 +41,8 @@
                 self.handle(Event::PlatformList(self.listed(&listed)));
             }
             self.tick();
-            if count.is_multiple_of(PERIODS_PER_PROBE) {
-                self.switch_list_polling();
+            if count.is_multiple_of(TICKS_PER_PROBE) {
+                self.update_list_polling();
                 self.probe_silent();
             }
         }
@@ -62,9 +62,9 @@
         });
     }
 
-    /// The platform's list, with the peers of the settings that it lacks.
+    /// Returns the platform's list, with the configured peers that are missing in it.
     fn listed(&self, list: &[PlatformInstance]) -> Vec<ListedInstance> {
-        let known = self
+        let configured = self
             .context
             .settings
             .peers
@@ -75,30 +75,31 @@
                 address: peer.peer_address.clone(),
                 leaving: false,
             });
-        let mut by_name: BTreeMap<String, ListedInstance> =
-            known.map(|item| (item.member.name.clone(), item)).collect();
+        let mut by_name: BTreeMap<String, ListedInstance> = configured
+            .map(|item| (item.member.name.clone(), item))
+            .collect();
         let listed = list.iter().map(listed_instance);
         by_name.extend(listed.map(|item| (item.member.name.clone(), item)));
         by_name.into_values().collect()
     }
 
-    /// Reads the platform's list for the failure domain, or in case of doubt:
-    /// out of the view or with a silent peer of the domain. Everyone reading
-    /// it always would let the store's calls grow with the fleet.
-    fn switch_list_polling(&self) {
+    /// Polls the platform's list if this instance watches the store, is not in the view
+    /// or has a silent peer in its failure domain. Polling on all instances would make
+    /// the load on the store grow with their number.
+    fn update_list_polling(&self) {
         let membership = self.membership();
         let in_force = membership.in_force();
         let mut peers = membership.status().into_iter();
         let silent =
             peers.any(|peer| peer.domain == self.domain && peer.state == PeerState::Silent);
         drop(membership);
-        let polls = self.watches.load(Ordering::Relaxed) || !in_force || silent;
+        let poll = self.watches_store.load(Ordering::Relaxed) || !in_force || silent;
         self.context
             .list_polling
-            .send_if_modified(|polling| std::mem::replace(polling, polls) != polls);
+            .send_if_modified(|polling| std::mem::replace(polling, poll) != poll);
     }
 
-    /// Asks the hosts of silent peers whether their process is still there.
+    /// Checks whether the processes of silent peers still exist.
     fn probe_silent(self: &Arc<Self>) {
         let status = self.membership().status();
         let silent = status
@@ -117,10 +118,10 @@
         }
     }
 
-    /// Passes one event to the decisions and does what they ask for.
+    /// Passes an event to the state machine and executes the resulting commands.
     ///
-    /// Commands are done under the lock, so that their order is the decisions'
-    /// own; none of them waits or comes back here.
+    /// Commands are executed under the lock to keep their order; none of them blocks
+    /// or calls this method.
     pub(super) fn handle(self: &Arc<Self>, event: Event) {
         let now = self.context.runtime.now();
         let mut commands = Vec::new();
@@ -134,13 +135,13 @@
     pub(super) fn execute(self: &Arc<Self>, command: Command) {
         match command {
             Command::Send { to, address, body } => self.send(&to, &address, body),
-            Command::ReadStore { domain } => self.read_store(domain),
+            Command::ReadStore { domain } => self.read_view_log(domain),
             Command::CompareAndSwap {
                 domain,
                 log,
                 expected_mod_revision,
             } => {
-                self.write_store(domain, log, expected_mod_revision);
+                self.write_view_log(domain, log, expected_mod_revision);
             }
             Command::AdmissionLimit(limit_ms) => {
                 self.context.runtime.engine().set_admission_limit(limit_ms);
@@ -152,49 +153,49 @@
         }
     }
 
-    /// Sends a message that may be lost.
+    /// Sends a message, which may be lost.
     pub(super) fn send(&self, to: &Member, address: &str, body: Body) {
         if let Some(address) = self.dial_address(to, address) {
             self.links.set_peer(&to.name, address);
         }
-        // A lost message costs a heartbeat period; the links count it.
+        // A lost message causes a delay of one heartbeat period; the links count it.
         let _ = self.links.send(&to.name, body);
     }
 
-    /// Divides the workers' slots among the instances that use them.
+    /// Divides the workers' slots among the members of the failure domain.
     ///
-    /// A leaving instance keeps its share until it has finished: what it has
-    /// admitted must still run. Its peers divide all slots among themselves at
-    /// once, and a worker that is asked for too much refuses before start.
+    /// A leaving instance keeps its share until its admitted jobs have ended, while its
+    /// peers already divide all slots among themselves. Workers refuse tasks beyond
+    /// their slots before starting them.
     fn members_changed(&self, members: &[Member]) {
         let mut names: Vec<String> = members.iter().map(|member| member.name.clone()).collect();
-        if !names.contains(&self.me.name) {
-            names.push(self.me.name.clone());
+        if !names.contains(&self.local_member.name) {
+            names.push(self.local_member.name.clone());
             names.sort();
         }
-        info!(self.context.log, "instances of the failure domain changed"; "members" => names.join(" "));
+        info!(self.context.log, "members of the failure domain changed"; "members" => names.join(" "));
         let runtime = &self.context.runtime;
         let share = self.connections_max / u32::try_from(names.len().max(1)).unwrap_or(u32::MAX);
         runtime.workers().set_connections_max(share.max(1));
-        runtime.set_domain_members(&self.me.name, &names);
-        let watches = names
+        runtime.set_domain_members(&self.local_member.name, &names);
+        let is_watcher = names
             .iter()
             .take(WATCHERS)
-            .any(|name| *name == self.me.name);
-        let watches = watches || names.len() < WATCHERS;
-        self.watches.store(watches, Ordering::Relaxed);
-        self.context.config.set_watching(watches);
+            .any(|name| *name == self.local_member.name);
+        let watches_store = is_watcher || names.len() < WATCHERS;
+        self.watches_store.store(watches_store, Ordering::Relaxed);
+        self.context.config.set_watching(watches_store);
     }
 
-    fn read_store(self: &Arc<Self>, domain: String) {
+    fn read_view_log(self: &Arc<Self>, domain: String) {
         let peers = Arc::clone(self);
         tokio::spawn(async move {
-            let event = peers.read_record(domain).await;
+            let event = peers.stored_view_log(domain).await;
             peers.handle(event);
         });
     }
 
-    async fn read_record(&self, domain: String) -> Event {
+    async fn stored_view_log(&self, domain: String) -> Event {
         let key = format!("{}{domain}", self.views_prefix);
         let Ok(found) = self.context.store.get(&key).await else {
             return Event::StoreUnreachable { domain };
@@ -213,13 +214,13 @@
                 mod_revision: found.revision,
             },
             Err(error) => {
-                warn!(self.context.log, "unreadable view log"; "key" => key, "error" => %error);
+                warn!(self.context.log, "cannot read the stored view log"; "key" => key, "error" => %error);
                 Event::StoreUnreachable { domain }
             }
         }
     }
 
-    fn write_store(self: &Arc<Self>, domain: String, log: ViewLog, expected_revision: u64) {
+    fn write_view_log(self: &Arc<Self>, domain: String, log: ViewLog, expected_revision: u64) {
         let peers = Arc::clone(self);
         tokio::spawn(async move {
             let key = format!("{}{domain}", peers.views_prefix);
--- a/src/peers/forward.rs
+++ b/src/peers/forward.rs
@@ -1,8 +1,8 @@
-//! Requests to a key's owner.
+//! Requests to the owner of a key.
 //!
-//! A frame can be lost with a connection. The request is therefore asked for
-//! again by key, which costs a small message and never a second start: the
-//! owner knows the key, or it does not and the submission is sent once more.
+//! A request may be lost with its connection. The owner is therefore asked again for
+//! the job by its key, which is a small message and never starts the job twice. Only
+//! if the owner does not know the key is the submission itself sent again.
 
 use std::time::{Duration, Instant};
 
@@ -20,19 +20,19 @@
 use crate::util::clock::whole_ms;
 use crate::util::telemetry::trace::{Hop, note_answer};
 
-/// Period of checks whether the owner is still there.
-const CHECK_PERIOD: Duration = Duration::from_millis(250);
-/// Checks before the owner is first asked again; doubled each time.
+/// Interval of checks whether the owner still owns the key.
+const CHECK_INTERVAL: Duration = Duration::from_millis(250);
+/// Number of checks before the request is repeated; doubled after each repetition.
 const FIRST_REASK_CHECKS: u32 = 4;
-/// Time beyond the job's own in which the owner's last word is awaited.
+/// Additional time, after a job's timeout, to wait for the owner's answer.
 const ANSWER_GRACE_MS: u64 = 1_000;
-/// Longest wait for an owner that only reads or cancels.
+/// Time limit of fetch and cancel requests, in addition to the caller's wait.
 const SHORT_REQUEST_MS: u64 = 2_000;
-/// When to come back to an owner that cannot be reached.
+/// Retry delay for the caller if the owner cannot be reached.
 const UNREACHABLE_RETRY_MS: u64 = 500;
 
-/// What is asked of a key's owner.
-pub(super) enum Ask<'a> {
+/// A request to the owner of a key.
+pub(super) enum OwnerRequest<'a> {
     Submit {
         submission: &'a Submission,
         wait: bool,
@@ -45,7 +45,7 @@
 }
 
 impl Peers {
-    /// Submits a job at the owner of its key.
+    /// Submits a job to the owner of its key.
     pub async fn submit(&self, submission: Submission, wait: bool, arrival: Arrival) -> JobAnswer {
         let owner = match self.route(&submission.key) {
             Route::Here => {
@@ -54,12 +54,14 @@
             Route::Peer(owner) => owner,
             Route::OwnerLost => {
                 let fingerprint = submission.fingerprint;
-                let ask = Ask::Submit {
+                let request = OwnerRequest::Submit {
                     submission: &submission,
                     wait,
                     traceparent: "",
                 };
-                return self.recall(&submission.key, Some(fingerprint), &ask).await;
+                return self
+                    .recall(&submission.key, Some(fingerprint), &request)
+                    .await;
             }
             Route::Unknown { retry_after_ms } => return refused(unknown_owner(retry_after_ms)),
         };
@@ -73,86 +75,99 @@
         let traceparent = span.header(arrival.traceparent);
         let traceparent = traceparent.as_deref().unwrap_or_default();
         let limit_ms = submission.timeout_ms + ANSWER_GRACE_MS;
-        let ask = Ask::Submit {
+        let request = OwnerRequest::Submit {
             submission: &submission,
             wait,
             traceparent,
         };
-        let answer = self.ask(&owner, &submission.key, &ask, limit_ms).await;
+        let answer = self
+            .request_owner(&owner, &submission.key, &request, limit_ms)
+            .await;
         note_answer(&mut span, &answer);
         answer
     }
 
-    /// Tells a job's state, or its end if it comes within `wait_ms`.
+    /// Returns the state of a job; waits up to `wait_ms` for it to end.
     pub async fn fetch(&self, key: &JobKey, wait_ms: u64) -> JobAnswer {
         let owner = match self.route(key) {
             Route::Peer(owner) => owner,
-            Route::OwnerLost => return self.recall(key, None, &Ask::Fetch { wait_ms }).await,
+            Route::OwnerLost => {
+                return self
+                    .recall(key, None, &OwnerRequest::Fetch { wait_ms })
+                    .await;
+            }
             Route::Here | Route::Unknown { .. } => {
                 return self.context.runtime.fetch(key, wait_ms).await;
             }
         };
         let limit_ms = wait_ms + SHORT_REQUEST_MS;
-        self.ask(&owner, key, &Ask::Fetch { wait_ms }, limit_ms)
+        self.request_owner(&owner, key, &OwnerRequest::Fetch { wait_ms }, limit_ms)
             .await
     }
 
-    /// Cancels a job.
+    /// Cancels a job at the owner of its key.
     pub async fn cancel(&self, key: &JobKey) -> JobAnswer {
         let owner = match self.route(key) {
             Route::Peer(owner) => owner,
-            Route::OwnerLost => return self.recall(key, None, &Ask::Cancel).await,
+            Route::OwnerLost => return self.recall(key, None, &OwnerRequest::Cancel).await,
             Route::Here | Route::Unknown { .. } => return self.context.runtime.cancel(key).await,
         };
-        self.ask(&owner, key, &Ask::Cancel, SHORT_REQUEST_MS).await
+        self.request_owner(&owner, key, &OwnerRequest::Cancel, SHORT_REQUEST_MS)
+            .await
     }
 
-    async fn ask(&self, owner: &Member, key: &JobKey, ask: &Ask<'_>, limit_ms: u64) -> JobAnswer {
+    async fn request_owner(
+        &self,
+        owner: &Member,
+        key: &JobKey,
+        request: &OwnerRequest<'_>,
+        limit_ms: u64,
+    ) -> JobAnswer {
         let started = Instant::now();
         let limit = Duration::from_millis(limit_ms);
-        let mut request = self.pending.open();
+        let mut pending = self.pending.open();
         if self
-            .send_ask(owner, ask.body(request.id(), key, started))
+            .send_request(owner, request.body(pending.id(), key, started))
             .is_err()
         {
             return refused(owner_unreachable(owner));
         }
-        let mut sent_again = false;
+        let mut resubmitted = false;
         let mut checks = 0;
         let mut reask_at = FIRST_REASK_CHECKS;
         loop {
-            let answer = tokio::time::timeout(CHECK_PERIOD, request.next()).await;
+            let answer = tokio::time::timeout(CHECK_INTERVAL, pending.next()).await;
             if let Ok(Some(message)) = answer {
                 let answer = convert::answer(message);
-                if !(ask.is_submission() && is_unknown_job(&answer)) {
-                    return match sent_again {
-                        true => judged_late(owner, answer),
+                if !(request.is_submission() && is_unknown_job(&answer)) {
+                    return match resubmitted {
+                        true => answer_to_resubmission(owner, answer),
                         false => answer,
                     };
                 }
-                sent_again = true;
+                resubmitted = true;
                 self.counters.count_reasked();
-                let _ = self.send_ask(owner, ask.body(request.id(), key, started));
+                let _ = self.send_request(owner, request.body(pending.id(), key, started));
                 continue;
             }
             if started.elapsed() >= limit {
                 return refused(answer_lost(owner));
             }
             if self.route(key) != Route::Peer(owner.clone()) {
-                // It may have left and handed its memory over.
-                let answer = self.recall(key, ask.fingerprint(), ask).await;
-                return unless_lost(answer, owner);
+                // The owner may have left and handed over its jobs.
+                let answer = self.recall(key, request.fingerprint(), request).await;
+                return recalled_answer(answer, owner);
             }
             checks += 1;
             if checks == reask_at {
                 reask_at *= 2;
                 self.counters.count_reasked();
-                let _ = self.send_ask(owner, ask.again(request.id(), key));
+                let _ = self.send_request(owner, request.repeated_body(pending.id(), key));
             }
         }
     }
 
-    pub(super) fn send_ask(&self, owner: &Member, body: Body) -> Result<(), LinkError> {
+    pub(super) fn send_request(&self, owner: &Member, body: Body) -> Result<(), LinkError> {
         let address = self.membership().address(owner);
         if let Some(address) = self.dial_address(owner, &address) {
             self.links.set_peer(&owner.name, address);
@@ -161,7 +176,7 @@
     }
 }
 
-impl Ask<'_> {
+impl OwnerRequest<'_> {
     fn is_submission(&self) -> bool {
         matches!(self, Self::Submit { .. })
     }
@@ -195,8 +210,8 @@
         }
     }
 
-    /// The small message that asks for the answer once more.
-    fn again(&self, request_id: u64, key: &JobKey) -> Body {
+    /// The message that asks for the answer again; a submission is not repeated.
+    fn repeated_body(&self, request_id: u64, key: &JobKey) -> Body {
         let key = key.as_str().to_owned();
         match self {
             Self::Submit {
@@ -223,9 +238,9 @@
     }
 }
 
-/// The owner's answer to a submission that reached it late: one that is
-/// impossible in the time that was left is not impossible in its own time.
-fn judged_late(owner: &Member, answer: JobAnswer) -> JobAnswer {
+/// Converts the answer to a submission that was sent again. A job that is impossible
+/// in the remaining time may be possible with its full timeout.
+fn answer_to_resubmission(owner: &Member, answer: JobAnswer) -> JobAnswer {
     match answer {
         JobAnswer::Refused(refusal) if refusal.reason == RefusalReason::Impossible => {
             refused(Refusal {
@@ -242,9 +257,9 @@
     }
 }
 
-/// A request that reached `owner` may have started something there, unless
-/// its successor knows more.
-fn unless_lost(answer: JobAnswer, owner: &Member) -> JobAnswer {
+/// Converts the answer of a successor to a request that was sent to `owner` before.
+/// Unless the successor knows the job's state, the owner may have started it.
+fn recalled_answer(answer: JobAnswer, owner: &Member) -> JobAnswer {
     match answer {
         JobAnswer::Refused(refusal) if refusal.verdict != Verdict::NotRun => {
             refused(answer_lost(owner))
@@ -270,7 +285,7 @@
     }
 }
 
-/// The owner left and handed all over that it knew; the key was not there.
+/// The owner left and handed over all its jobs, without one for this key.
 pub(super) fn owner_left() -> Refusal {
     Refusal {
         reason: RefusalReason::OwnerLeft,
--- a/src/peers/handover.rs
+++ b/src/peers/handover.rs
@@ -1,8 +1,8 @@
-//! The memory of a leaving instance, handed to those that answer for its keys.
+//! Handover of a leaving instance's remembered jobs to the successors for its keys.
 //!
-//! Parts go to each successor one after another; a part is sent again until it
-//! is acknowledged. The successors are served side by side, and all of it ends
-//! by a deadline that the planned stop sets.
+//! The jobs are sent in parts to all successors concurrently. Each part is sent until
+//! it is acknowledged, and the next part follows. The handover ends at the latest at
+//! a deadline that the planned stop sets.
 
 use std::collections::{BTreeMap, HashMap};
 use std::sync::Arc;
@@ -21,79 +21,80 @@
 use super::parts::{PartLimits, parts};
 use super::{Peers, convert};
 
-/// Wait for an acknowledgement before a part is sent again.
-const RESEND: Duration = Duration::from_millis(250);
-/// Longest wait for the view without this instance; beyond, the memory goes
-/// to where it would go, without proof that it is complete.
-const VIEW_WAIT: Duration = Duration::from_secs(2);
-const VIEW_POLL: Duration = Duration::from_millis(20);
-/// Acknowledgements that wait to be read.
-const ACKS_MAX: usize = 16;
+/// Time without an acknowledgement after which a part is sent again.
+const RESEND_INTERVAL: Duration = Duration::from_millis(250);
+/// Maximum wait for a view without this instance. After it, jobs are handed over to the
+/// expected successors, without proof that they are complete.
+const REMOVAL_TIMEOUT: Duration = Duration::from_secs(2);
+const REMOVAL_POLL_INTERVAL: Duration = Duration::from_millis(20);
+/// Number of acknowledgements buffered for a transfer.
+const ACK_BUFFER: usize = 16;
 
-/// Acknowledgements awaited, by the successor.
+/// Receivers of acknowledgements, by successor.
 pub(super) type AckTable = HashMap<Member, mpsc::Sender<KeyHandoverAck>>;
 
-/// What became of a hand-over.
+/// Result of a handover.
 #[derive(Clone, Copy, Debug, Default, Display, PartialEq, Eq)]
 #[display("{keys} keys to {successors} successors, {unfinished} unfinished, proof: {proof}")]
 pub struct HandoverReport {
-    /// Keys that were to be handed over.
+    /// Number of keys to hand over.
     pub keys: usize,
-    /// Instances that take them over.
+    /// Number of successors.
     pub successors: usize,
-    /// Of these, those that did not take all before the deadline.
+    /// Number of transfers that were not completed before the deadline.
     pub unfinished: usize,
-    /// Whether the successors can tell that a key never started.
+    /// Whether successors can tell that a missing key was never started.
     pub proof: bool,
 }
 
-/// What one successor gets.
-struct Errand {
+/// Jobs and scopes for one successor.
+struct Transfer {
     to: Member,
     jobs: Vec<RememberedJob>,
     scopes: Vec<HandoverScope>,
 }
 
-/// How an errand ended.
-enum ErrandEnd {
-    /// The successor has all.
+/// Result of a transfer.
+enum TransferResult {
+    /// The successor accepted everything.
     Done,
-    /// The successor left meanwhile; these are for whoever follows it.
-    Left(Vec<RememberedJob>),
-    /// The deadline came, or the successor had no room.
+    /// The successor left; its own successors take over these jobs.
+    SuccessorLeft(Vec<RememberedJob>),
+    /// The deadline passed, or the successor could not remember all jobs.
     Unfinished,
 }
 
 impl Peers {
-    /// Hands this instance's memory over; takes until `limit` at most.
+    /// Hands over this instance's remembered jobs, within `limit`.
     ///
-    /// New keys must be refused already, and nothing may run.
+    /// Before the call, new keys must be refused and all jobs must have ended.
     pub async fn hand_over(self: &Arc<Self>, limit: Duration) -> HandoverReport {
         let deadline = Instant::now() + limit;
-        let proof = self.wait_for_removal(limit.min(VIEW_WAIT)).await;
-        // From here on no part is taken that could not be handed on.
+        let proof = self.wait_for_removal(limit.min(REMOVAL_TIMEOUT)).await;
+        // Parts accepted from now on could not be handed over any more.
         self.scopes().close();
         let now = self.context.runtime.now();
-        let Some(memory) = self.context.runtime.engine().remembered_jobs(now) else {
+        let Some(remembered) = self.context.runtime.engine().remembered_jobs(now) else {
             return HandoverReport::default();
         };
         let mut report = HandoverReport {
-            keys: memory.jobs.len(),
+            keys: remembered.jobs.len(),
             proof,
             ..HandoverReport::default()
         };
-        let mut errands = self.first_errands(memory, proof);
-        report.successors = errands.len();
-        while !errands.is_empty() {
-            let (left, unfinished) = self.run_errands(errands, deadline).await;
+        let mut transfers = self.first_transfers(remembered, proof);
+        report.successors = transfers.len();
+        while !transfers.is_empty() {
+            let (remaining, unfinished) = self.run_transfers(transfers, deadline).await;
             report.unfinished += unfinished;
-            errands = self.later_errands(left);
+            transfers = self.further_transfers(remaining);
         }
         info!(self.context.log, "memory handed over"; "report" => %report);
         report
     }
 
-    /// Tells others that this instance ends, so that they ask its successors.
+    /// Notifies the other instances that this one ends, so that they send requests to
+    /// its successors.
     pub fn announce_departure(self: &Arc<Self>) {
         let mut commands = Vec::new();
         let mut membership = self.membership();
@@ -106,79 +107,81 @@
     async fn wait_for_removal(&self, limit: Duration) -> bool {
         let removed = async {
             while self.in_view() {
-                sleep(VIEW_POLL).await;
+                sleep(REMOVAL_POLL_INTERVAL).await;
             }
         };
         timeout(limit, removed).await.is_ok()
     }
 
-    /// One errand to each successor, also where it gets no key: the word that
-    /// this is all counts for the keys that it did not get.
-    fn first_errands(&self, memory: RememberedJobs, proof: bool) -> Vec<Errand> {
+    /// Returns a transfer for each successor, also without jobs: the scopes prove that
+    /// keys that were not handed over have never started.
+    fn first_transfers(&self, remembered: RememberedJobs, proof: bool) -> Vec<Transfer> {
         let membership = self.membership();
         let Some(known) = membership.view_log(&self.domain) else {
             return Vec::new();
         };
-        let own = membership.handover_scope(memory.from_ms);
+        let own_scope = membership.handover_scope(remembered.from_ms);
         let scopes = match proof {
-            true => self.scopes().handed_on(&self.me, own, memory.from_ms),
+            true => self
+                .scopes()
+                .handed_on(&self.local_member, own_scope, remembered.from_ms),
             false => Vec::new(),
         };
-        let mut by_holder = by_holder(&known.log, &self.me, memory.jobs);
-        for heir in known.log.heirs(&self.me) {
-            by_holder.entry(heir).or_default();
+        let mut by_successor = jobs_by_successor(&known.log, &self.local_member, remembered.jobs);
+        for successor in known.log.heirs(&self.local_member) {
+            by_successor.entry(successor).or_default();
         }
-        let errand = |(to, jobs)| Errand {
+        let transfer = |(to, jobs)| Transfer {
             to,
             jobs,
             scopes: scopes.clone(),
         };
-        by_holder.into_iter().map(errand).collect()
+        by_successor.into_iter().map(transfer).collect()
     }
 
-    /// Errands of keys whose first successor left; without the word that this
-    /// is all, which counts for the way through the first.
-    fn later_errands(&self, jobs: Vec<RememberedJob>) -> Vec<Errand> {
+    /// Returns transfers of jobs whose first successor left. They have no scopes, as a
+    /// scope is valid only for the path through the first successor.
+    fn further_transfers(&self, jobs: Vec<RememberedJob>) -> Vec<Transfer> {
         let membership = self.membership();
         let Some(known) = membership.view_log(&self.domain) else {
             return Vec::new();
         };
-        let errand = |(to, jobs)| Errand {
+        let transfer = |(to, jobs)| Transfer {
             to,
             jobs,
             scopes: Vec::new(),
         };
-        let by_holder = by_holder(&known.log, &self.me, jobs);
-        by_holder.into_iter().map(errand).collect()
+        let by_successor = jobs_by_successor(&known.log, &self.local_member, jobs);
+        by_successor.into_iter().map(transfer).collect()
     }
 
-    /// Runs errands side by side: keys of successors that left, and how many
-    /// errands were not finished.
-    async fn run_errands(
+    /// Runs transfers concurrently; returns the jobs of successors that left, and the
+    /// number of unfinished transfers.
+    async fn run_transfers(
         self: &Arc<Self>,
-        errands: Vec<Errand>,
+        transfers: Vec<Transfer>,
         deadline: Instant,
     ) -> (Vec<RememberedJob>, usize) {
-        let mut sends = JoinSet::new();
-        for errand in errands {
+        let mut tasks = JoinSet::new();
+        for transfer in transfers {
             let peers = Arc::clone(self);
-            sends.spawn(async move { peers.run_errand(errand, deadline).await });
+            tasks.spawn(async move { peers.run_transfer(transfer, deadline).await });
         }
-        let mut left = Vec::new();
+        let mut remaining = Vec::new();
         let mut unfinished = 0;
-        for end in sends.join_all().await {
-            match end {
-                ErrandEnd::Done => {}
-                ErrandEnd::Left(jobs) => left.extend(jobs),
-                ErrandEnd::Unfinished => unfinished += 1,
+        for result in tasks.join_all().await {
+            match result {
+                TransferResult::Done => {}
+                TransferResult::SuccessorLeft(jobs) => remaining.extend(jobs),
+                TransferResult::Unfinished => unfinished += 1,
             }
         }
-        (left, unfinished)
+        (remaining, unfinished)
     }
 
-    async fn run_errand(&self, errand: Errand, deadline: Instant) -> ErrandEnd {
-        let Errand { to, jobs, scopes } = errand;
-        let (sender, mut acks) = mpsc::channel(ACKS_MAX);
+    async fn run_transfer(&self, transfer: Transfer, deadline: Instant) -> TransferResult {
+        let Transfer { to, jobs, scopes } = transfer;
+        let (sender, mut acks) = mpsc::channel(ACK_BUFFER);
         self.acks().insert(to.clone(), sender);
         let mut parts = parts(&jobs, &PartLimits::default()).into_iter().peekable();
         let mut accepted = true;
@@ -197,18 +200,19 @@
                 },
             };
             match timeout_at(deadline, self.send_part(&to, part, &mut acks)).await {
-                Ok(Some(taken)) => accepted &= taken,
-                Ok(None) => return ErrandEnd::Left(jobs),
-                Err(_) => return ErrandEnd::Unfinished,
+                Ok(Some(part_accepted)) => accepted &= part_accepted,
+                Ok(None) => return TransferResult::SuccessorLeft(jobs),
+                Err(_) => return TransferResult::Unfinished,
             }
         }
         match accepted {
-            true => ErrandEnd::Done,
-            false => ErrandEnd::Unfinished,
+            true => TransferResult::Done,
+            false => TransferResult::Unfinished,
         }
     }
 
-    /// Whether the successor took the part; `None` if it left meanwhile.
+    /// Sends a part until it is acknowledged; returns whether it was accepted, or `None`
+    /// if the successor left.
     async fn send_part(
         &self,
         to: &Member,
@@ -218,9 +222,9 @@
         let number = part.part;
         while !self.was_removed(to) {
             let address = self.membership().address(to);
-            // A part that is lost, or not even queued, is sent again.
+            // Errors are ignored: the part is sent again without an acknowledgement.
             self.send(to, &address, Body::KeyHandover(part.clone()));
-            let answered = timeout(RESEND, async {
+            let acknowledged = timeout(RESEND_INTERVAL, async {
                 loop {
                     match acks.recv().await {
                         Some(ack) if ack.part == number => return ack.accepted,
@@ -229,7 +233,7 @@
                     }
                 }
             });
-            if let Ok(accepted) = answered.await {
+            if let Ok(accepted) = acknowledged.await {
                 return Some(accepted);
             }
         }
@@ -243,33 +247,33 @@
         newest.is_some_and(|view| !view.has(member))
     }
 
-    /// Takes an acknowledgement.
-    pub(super) fn take_ack(&self, from: &InstanceRef, ack: KeyHandoverAck) {
-        if ack.to.as_ref().map(Member::from).as_ref() != Some(&self.me) {
+    /// Passes an acknowledgement to its transfer.
+    pub(super) fn accept_ack(&self, from: &InstanceRef, ack: KeyHandoverAck) {
+        if ack.to.as_ref().map(Member::from).as_ref() != Some(&self.local_member) {
             return;
         }
         if let Some(sender) = self.acks().get(&Member::from(from)) {
-            // A full queue holds one for each part already.
+            // If the buffer is full, the part is sent and acknowledged again.
             let _ = sender.try_send(ack);
         }
     }
 
-    /// Takes over a part of another instance's memory.
-    pub(super) fn take_part(&self, from: &InstanceRef, part: KeyHandover) {
-        if part.to.as_ref().map(Member::from).as_ref() != Some(&self.me) {
+    /// Takes over remembered jobs from another instance.
+    pub(super) fn accept_part(&self, from: &InstanceRef, part: KeyHandover) {
+        if part.to.as_ref().map(Member::from).as_ref() != Some(&self.local_member) {
             return;
         }
-        // Held throughout: a hand-over of one's own closes the scopes first.
+        // Locked until the jobs are stored: this instance's own handover first closes
+        // the scopes.
         let mut scopes = self.scopes();
         if scopes.is_closed() {
-            // Not acknowledged: the sender finds out who follows.
+            // Not acknowledged: the sender will see that this instance left.
             return;
         }
         let now = self.context.runtime.now();
         let engine = self.context.runtime.engine();
-        // Results share their frame's memory: copied, as they are kept.
         let jobs = part.keys.into_iter().filter_map(convert::remembered_job);
-        // Each is taken up, also behind one that found no room.
+        // All jobs are tried, also after one that could not be remembered.
         let refused = jobs
             .filter(|job| !engine.remember(now, job.clone()))
             .count();
@@ -289,19 +293,19 @@
     }
 }
 
-/// Jobs by who answers for them once `me` is gone.
-fn by_holder(
+/// Groups jobs by the instance that takes them over when `leaving` is gone.
+fn jobs_by_successor(
     log: &ViewLog,
-    me: &Member,
+    leaving: &Member,
     jobs: Vec<RememberedJob>,
 ) -> BTreeMap<Member, Vec<RememberedJob>> {
-    let mut by_holder: BTreeMap<Member, Vec<RememberedJob>> = BTreeMap::new();
+    let mut by_successor: BTreeMap<Member, Vec<RememberedJob>> = BTreeMap::new();
     for job in jobs {
-        let succession = log.succession(&job.key, |member| member == me);
+        let succession = log.succession(&job.key, |member| member == leaving);
         let holder = succession.map(|succession| succession.holder);
-        if let Some(holder) = holder.filter(|holder| holder != me) {
-            by_holder.entry(holder).or_default().push(job);
+        if let Some(holder) = holder.filter(|holder| holder != leaving) {
+            by_successor.entry(holder).or_default().push(job);
         }
     }
-    by_holder
+    by_successor
 }
--- a/src/peers/lending.rs
+++ b/src/peers/lending.rs
@@ -1,4 +1,4 @@
-//! Loans of task slots, as messages between the failure domain's instances.
+//! Messages about loans of task slots between instances of a failure domain.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -10,15 +10,15 @@
 
 use super::Peers;
 
-/// Period of looks at what is idle and what lacks.
-const PERIOD: Duration = Duration::from_millis(10);
-/// Lease of a grant that gives borrowed slots back.
+/// Interval at which slots are balanced.
+const BALANCE_INTERVAL: Duration = Duration::from_millis(10);
+/// `lease_ms` of a grant that returns borrowed slots.
 const RETURNED: u64 = 0;
 
 impl Peers {
-    /// Asks for slots and returns them, until the process ends.
-    pub(super) async fn balance_forever(self: Arc<Self>) {
-        let mut ticks = tokio::time::interval(PERIOD);
+    /// Requests and returns slots until the process ends.
+    pub(super) async fn run_slot_balancing(self: Arc<Self>) {
+        let mut ticks = tokio::time::interval(BALANCE_INTERVAL);
         ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
         loop {
             ticks.tick().await;
@@ -28,7 +28,8 @@
         }
     }
 
-    /// A message that is lost costs a wait, or a slot until its loan ends.
+    /// Sends a request or a return of slots. A lost request delays tasks; slots whose
+    /// return is lost are unused until their loan expires.
     fn send_slots(&self, message: SlotMessage) {
         let service = message.service.to_string();
         let body = match message.body {
@@ -42,7 +43,7 @@
         let _ = self.links.send(&message.to, body);
     }
 
-    /// Answers a peer that asks for slots, also if there are none.
+    /// Answers a peer's request for slots, also if none can be lent.
     pub(super) fn serve_slot_request(&self, from: &InstanceRef, request: SlotRequest) {
         let runtime = &self.context.runtime;
         let lent =
@@ -57,8 +58,8 @@
         let _ = self.links.send(&from.name, Body::SlotGrant(grant));
     }
 
-    /// Takes slots that a peer lends or returns.
-    pub(super) fn take_slot_grant(&self, from: &InstanceRef, grant: SlotGrant) {
+    /// Accepts slots that a peer lends or returns.
+    pub(super) fn accept_slot_grant(&self, from: &InstanceRef, grant: SlotGrant) {
         let runtime = &self.context.runtime;
         let slots: Vec<_> = grant.slots.into_iter().map(decode).collect();
         match grant.lease_ms {
--- a/src/peers/parts.rs
+++ b/src/peers/parts.rs
@@ -1,19 +1,19 @@
-//! Remembered jobs in parts of bounded size.
+//! Splits remembered jobs into parts of limited size.
 
 use trefoil_core::engine::{JobAnswer, RememberedJob};
 use trefoil_schema::peer::RememberedKey;
 
 use super::convert;
 
-/// Bounds of a hand-over to one successor.
+/// Limits of the handover to one successor.
 #[derive(Clone, Copy, Debug)]
 pub struct PartLimits {
-    /// Largest part, in bytes; a single job may be larger.
+    /// Maximum size of a part, in bytes; results of larger jobs are dropped.
     pub part_bytes_max: usize,
-    /// Most keys of a part.
+    /// Maximum number of keys in a part.
     pub part_keys_max: usize,
-    /// Bytes of results passed on, newest keys first; the other jobs are
-    /// handed over as ended, their results dropped.
+    /// Maximum size of all results, in bytes. Results of the newest keys are preferred;
+    /// jobs beyond the limit are handed over without results.
     pub results_bytes_max: usize,
 }
 
@@ -27,10 +27,10 @@
     }
 }
 
-/// Room for a key's other fields, in bytes.
+/// Allowance for the fields of a key other than its results, in bytes.
 const KEY_BYTES: usize = 300;
 
-/// The parts that hand `jobs` over, in order; at least one, which may be empty.
+/// Splits `jobs` into parts, in order; returns at least one part, which may be empty.
 pub fn parts(jobs: &[RememberedJob], limits: &PartLimits) -> Vec<Vec<RememberedKey>> {
     let mut parts = vec![Vec::new()];
     let mut part_bytes = 0;
@@ -44,8 +44,9 @@
             results_bytes += bytes;
         }
         let bytes = KEY_BYTES + result_bytes(&job);
-        let part = parts.last().map_or(0, Vec::len);
-        if part == limits.part_keys_max || (part > 0 && part_bytes + bytes > limits.part_bytes_max)
+        let part_keys = parts.last().map_or(0, Vec::len);
+        if part_keys == limits.part_keys_max
+            || (part_keys > 0 && part_bytes + bytes > limits.part_bytes_max)
         {
             parts.push(Vec::new());
             part_bytes = 0;
--- a/src/peers/pending.rs
+++ b/src/peers/pending.rs
@@ -7,21 +7,21 @@
 use tokio::sync::mpsc;
 use trefoil_schema::peer::JobAnswer;
 
-/// Shards of the table, each under its own lock.
+/// Number of shards of the table, each with its own lock.
 const SHARDS: usize = 16;
-/// Answers that one request holds until it reads them.
+/// Number of answers buffered for a request.
 const ANSWERS_MAX: usize = 4;
 
 type Shard = HashMap<u64, mpsc::Sender<JobAnswer>>;
 
-/// Open requests by number.
+/// Open requests by ID.
 #[derive(Debug, Default)]
 pub struct PendingTable {
     next_id: AtomicU64,
     shards: [Mutex<Shard>; SHARDS],
 }
 
-/// One open request; dropping it forgets the request.
+/// An open request; it is closed when dropped.
 #[derive(Debug)]
 pub struct PendingRequest<'a> {
     table: &'a PendingTable,
@@ -30,7 +30,7 @@
 }
 
 impl PendingTable {
-    /// Opens a request under a number that was not used before.
+    /// Opens a request with a unique ID.
     pub fn open(&self) -> PendingRequest<'_> {
         let id = self.next_id.fetch_add(1, Ordering::Relaxed) + 1;
         let (sender, answers) = mpsc::channel(ANSWERS_MAX);
@@ -42,7 +42,8 @@
         }
     }
 
-    /// Gives an answer to its request; false where none is open.
+    /// Passes an answer to its request; returns `false` if the request is not open or
+    /// its buffer is full.
     pub fn answer(&self, answer: JobAnswer) -> bool {
         let shard = self.shard(answer.request_id);
         let Some(sender) = shard.get(&answer.request_id) else {
@@ -60,12 +61,12 @@
 }
 
 impl PendingRequest<'_> {
-    /// Number of the request.
+    /// The request ID to send in the message.
     pub fn id(&self) -> u64 {
         self.id
     }
 
-    /// The next answer.
+    /// Waits for the next answer.
     pub async fn next(&mut self) -> Option<JobAnswer> {
         self.answers.recv().await
     }
--- a/src/peers/recall.rs
+++ b/src/peers/recall.rs
@@ -1,6 +1,6 @@
-//! Keys whose owner is gone: answered from the memory that it handed over.
+//! Requests for keys whose owner is gone, answered from the jobs that it handed over.
 //!
-//! Whoever answers here never starts such a key.
+//! A job with such a key is never started.
 
 use std::time::{Duration, Instant};
 
@@ -9,29 +9,30 @@
 use trefoil_core::handover::Absence;
 use trefoil_core::key::JobKey;
 
-use super::forward::{Ask, owner_left, owner_lost, refused, unknown_owner};
+use super::forward::{OwnerRequest, owner_left, owner_lost, refused, unknown_owner};
 use super::{Peers, convert};
 
-/// Longest wait for the answer of a successor, asked anew each period.
-const SUCCESSOR_WAIT: Duration = Duration::from_millis(750);
-const ASK_PERIOD: Duration = Duration::from_millis(250);
-/// When to ask again where two instances disagree on the successor.
+/// Time limit for a successor's answer.
+const SUCCESSOR_TIMEOUT: Duration = Duration::from_millis(750);
+/// Time after which a request to a successor is repeated.
+const RESEND_INTERVAL: Duration = Duration::from_millis(250);
+/// Retry delay for the caller if instances disagree on the successor.
 const UNSETTLED_RETRY_MS: u64 = 250;
-/// When to ask again where the successor did not answer.
-const SILENT_RETRY_MS: u64 = 500;
+/// Retry delay for the caller if the successor does not answer.
+const NO_ANSWER_RETRY_MS: u64 = 500;
 
 impl Peers {
-    /// Answers for a key whose owner is gone, here or at its successor.
+    /// Answers a request for a key whose owner is gone, locally or by its successor.
     pub(super) async fn recall(
         &self,
         key: &JobKey,
         fingerprint: Option<u64>,
-        ask: &Ask<'_>,
+        request: &OwnerRequest<'_>,
     ) -> JobAnswer {
         let succession = self.membership().succession(key);
         match succession {
-            Some((succession, _)) if succession.holder != self.me => {
-                self.ask_successor(&succession.holder, key, ask).await
+            Some((succession, _)) if succession.holder != self.local_member => {
+                self.ask_successor(&succession.holder, key, request).await
             }
             Some(_) | None => self.recall_here(key, fingerprint).await,
         }
@@ -39,32 +40,32 @@
 
     async fn ask_successor(
         &self,
-        holder: &trefoil_core::view::Member,
+        successor: &trefoil_core::view::Member,
         key: &JobKey,
-        ask: &Ask<'_>,
+        request: &OwnerRequest<'_>,
     ) -> JobAnswer {
         let started = Instant::now();
-        let mut request = self.pending.open();
-        while started.elapsed() < SUCCESSOR_WAIT {
-            let body = ask.body(request.id(), key, started);
-            if self.send_ask(holder, body).is_err() {
+        let mut pending = self.pending.open();
+        while started.elapsed() < SUCCESSOR_TIMEOUT {
+            let body = request.body(pending.id(), key, started);
+            if self.send_request(successor, body).is_err() {
                 break;
             }
-            let answer = tokio::time::timeout(ASK_PERIOD, request.next()).await;
+            let answer = tokio::time::timeout(RESEND_INTERVAL, pending.next()).await;
             if let Ok(Some(message)) = answer {
                 return convert::answer(message);
             }
         }
         let mut refusal = owner_lost();
-        refusal.retry_after_ms = SILENT_RETRY_MS;
+        refusal.retry_after_ms = NO_ANSWER_RETRY_MS;
         refused(refusal)
     }
 
-    /// Answers from the memory here, if this instance is the successor.
+    /// Answers from the jobs handed over to this instance, if it is the successor.
     pub(super) async fn recall_here(&self, key: &JobKey, fingerprint: Option<u64>) -> JobAnswer {
         let succession = self.membership().succession(key);
-        let absent = match &succession {
-            Some((succession, version)) if succession.holder == self.me => {
+        let answer_if_absent = match &succession {
+            Some((succession, version)) if succession.holder == self.local_member => {
                 let scopes = self.scopes();
                 match scopes.absence(key, succession, *version) {
                     Absence::NeverStarted => owner_left(),
@@ -81,6 +82,6 @@
             None => owner_lost(),
         };
         let runtime = &self.context.runtime;
-        runtime.recall(key, fingerprint, absent).await
+        runtime.recall(key, fingerprint, answer_if_absent).await
     }
 }
--- a/src/peers/record.rs
+++ b/src/peers/record.rs
@@ -1,25 +1,25 @@
-//! A failure domain's views as the store keeps them: JSON that people can read.
+//! Stored format of a failure domain's views: JSON, so that operators can read it.
 
 use derive_more::{Display, Error};
 use trefoil_core::view::{ViewError, ViewLog};
 
-/// A stored record that cannot be used.
+/// Error in a stored view log.
 #[derive(Debug, Display, Error)]
 pub enum RecordError {
-    /// The value is no JSON of a view log.
-    #[display("the stored view log cannot be read: {_0}")]
+    /// The value cannot be parsed.
+    #[display("cannot parse the stored view log: {_0}")]
     Json(serde_json::Error),
-    /// The views break a rule of view logs.
-    #[display("the stored view log is wrong: {_0}")]
+    /// The views are inconsistent.
+    #[display("the stored view log is invalid: {_0}")]
     Views(ViewError),
 }
 
-/// The value to store.
+/// Encodes a view log for the store.
 pub fn encode(log: &ViewLog) -> Vec<u8> {
     serde_json::to_vec(log).unwrap_or_default()
 }
 
-/// The log of a stored value.
+/// Decodes and validates a stored view log.
 pub fn decode(value: &[u8]) -> Result<ViewLog, RecordError> {
     let log: ViewLog = serde_json::from_slice(value).map_err(RecordError::Json)?;
     log.check().map_err(RecordError::Views)?;
--- a/src/peers/serve.rs
+++ b/src/peers/serve.rs
@@ -1,4 +1,4 @@
-//! Requests and news from other instances.
+//! Messages from other instances.
 
 use std::sync::Arc;
 use std::time::Instant;
@@ -16,18 +16,18 @@
 use crate::runtime::Arrival;
 use crate::util::telemetry::trace::{Hop, note_answer};
 
-/// When an entry should ask again that came to the wrong owner.
+/// Retry delay for an instance that sent a request to the wrong owner.
 const WRONG_OWNER_RETRY_MS: u64 = 250;
 
 impl Peers {
-    /// Takes messages until the links close.
+    /// Handles messages until the links are closed.
     pub(super) async fn receive(self: Arc<Self>, mut incoming: mpsc::Receiver<Incoming>) {
         while let Some(Incoming { from, message }) = incoming.recv().await {
-            self.take(&from, message);
+            self.handle_message(&from, message);
         }
     }
 
-    fn take(self: &Arc<Self>, from: &InstanceRef, body: Body) {
+    fn handle_message(self: &Arc<Self>, from: &InstanceRef, body: Body) {
         match body {
             Body::ForwardJob(job) => self.serve_job(from.clone(), job),
             Body::FetchJob(request) => {
@@ -42,13 +42,13 @@
                 self.serve_key(from.clone(), request.request_id, &request.key, serve);
             }
             Body::JobAnswer(answer) => {
-                // An answer to a request that is closed is late or doubled.
+                // Answers to closed requests are late or duplicates.
                 if !self.pending.answer(answer) {
                     self.counters.count_stale_answer();
                 }
             }
-            Body::KeyHandover(part) => self.take_part(from, part),
-            Body::KeyHandoverAck(ack) => self.take_ack(from, ack),
+            Body::KeyHandover(part) => self.accept_part(from, part),
+            Body::KeyHandoverAck(ack) => self.accept_ack(from, ack),
             Body::ConfigRequest(request) => {
                 let changes = self.context.config.changes_after(request.after_revision);
                 self.reply(from, Body::ConfigChanges(changes));
@@ -66,22 +66,22 @@
                 {
                     self.reply(from, Body::ConfigRequest(request));
                 }
-                self.tell(from, Body::Heartbeat(heartbeat));
+                self.handle_membership_message(from, Body::Heartbeat(heartbeat));
             }
             Body::SlotRequest(request) => self.serve_slot_request(from, request),
-            Body::SlotGrant(grant) => self.take_slot_grant(from, grant),
-            other => self.tell(from, other),
+            Body::SlotGrant(grant) => self.accept_slot_grant(from, grant),
+            other => self.handle_membership_message(from, other),
         }
     }
 
-    fn tell(self: &Arc<Self>, from: &InstanceRef, body: Body) {
+    fn handle_membership_message(self: &Arc<Self>, from: &InstanceRef, body: Body) {
         self.handle(Event::Message {
             from: Member::from(from),
             body,
         });
     }
 
-    /// Sends an answer that may be lost: whoever asked asks again.
+    /// Sends a response, which may be lost; the requester repeats its request.
     fn reply(&self, to: &InstanceRef, body: Body) {
         let _ = self.links.send(&to.name, body);
     }
@@ -97,17 +97,20 @@
         });
     }
 
-    /// Runs a job, within a span below the one of the instance that sent it.
+    /// Runs a job in a child span of the sending instance's span.
     async fn run_job(self: &Arc<Self>, from: &InstanceRef, job: ForwardJob) -> JobAnswer {
         let whole_at = Some(Instant::now());
         let header = job.traceparent.as_str();
-        let given = (!header.is_empty()).then(|| Arc::<str>::from(header));
-        let mut span = self.context.runtime.span(Hop::PeerServed, given.as_deref());
+        let received = (!header.is_empty()).then(|| Arc::<str>::from(header));
+        let mut span = self
+            .context
+            .runtime
+            .span(Hop::PeerServed, received.as_deref());
         if span.is_taken() {
             span.set("peer", from.name.clone());
         }
         let arrival = Arrival {
-            traceparent: span.header(given),
+            traceparent: span.header(received),
             whole_at,
         };
         let answer = self.admit_job(job, arrival).await;
@@ -126,8 +129,8 @@
                 let fingerprint = Some(submission.fingerprint);
                 self.recall_here(&submission.key, fingerprint).await
             }
-            // Not handed on: two instances that disagree must not play it back
-            // and forth.
+            // Not forwarded again: instances that disagree on the owner would forward
+            // it in a loop.
             Route::Peer(_) => {
                 self.counters.count_misrouted();
                 JobAnswer::Refused(forward::unknown_owner(WRONG_OWNER_RETRY_MS))
@@ -145,7 +148,7 @@
                 self.context.runtime.fetch(key, wait_ms).await
             }
         };
-        self.unless_owner_unsettled(key, answer)
+        self.check_ownership(key, answer)
     }
 
     async fn serve_cancel(&self, key: &JobKey) -> JobAnswer {
@@ -155,11 +158,11 @@
                 self.context.runtime.cancel(key).await
             }
         };
-        self.unless_owner_unsettled(key, answer)
+        self.check_ownership(key, answer)
     }
 
-    /// Only the owner can say that it does not know a job.
-    fn unless_owner_unsettled(&self, key: &JobKey, answer: JobAnswer) -> JobAnswer {
+    /// Replaces the answer that a job is unknown, which is valid only from the owner.
+    fn check_ownership(&self, key: &JobKey, answer: JobAnswer) -> JobAnswer {
         match self.route(key) {
             Route::Here => answer,
             _ if !forward::is_unknown_job(&answer) => answer,
@@ -190,7 +193,7 @@
     fn reply_answer(&self, to: &InstanceRef, request_id: u64, key: &str, answer: &JobAnswer) {
         let message = convert::answer_message(request_id, key, answer);
         if self.links.send(&to.name, Body::JobAnswer(message)).is_err() {
-            // Too large, or too much queued: say at least how the job ended.
+            // Too large, or the queue is full: send the outcome without results.
             let message =
                 convert::answer_message(request_id, key, &convert::without_results(answer));
             let _ = self.links.send(&to.name, Body::JobAnswer(message));
--- a/tests/testsuite/leaving.rs
+++ b/tests/testsuite/leaving.rs
@@ -1,5 +1,5 @@
-//! Planned stops of instances under load: no request is cut off, nothing is
-//! lost or doubled, and what the leaver remembered is answered by others.
+//! Planned stops of instances under load: all requests are answered, no job is lost or
+//! run twice, and successors answer for the jobs that were handed over.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -12,19 +12,20 @@
 use crate::support::callers::{Balancer, Callers, Job, reason_of};
 use crate::support::deployment::{Deployment, Size, until};
 
-/// Longest planned stop with jobs of this load: announcement, jobs, hand-over.
+/// Time limit of a planned stop under this load.
 const STOP_MAX: Duration = Duration::from_secs(4);
-/// The same where the memory cannot be handed over: its limit comes on top.
-const HINDERED_STOP_MAX: Duration = Duration::from_secs(10);
-/// Longest time that an entry may say that it does not know yet whom to ask.
+/// Time limit of a planned stop whose handover runs into its own time limit.
+const BLOCKED_HANDOVER_STOP_MAX: Duration = Duration::from_secs(10);
+/// Time limit for an instance to learn the new owner of a key.
 const SETTLED_MAX: Duration = Duration::from_secs(2);
 const PERIOD_MS: u64 = 25;
-/// Well above the balancer's period and the time that keys are vouched ahead.
+/// Longer than the balancer's interval and the time for which keys are vouched ahead.
 const ANNOUNCE_MS: u64 = 600;
-const LEAVER: usize = 1;
+/// Index of the instance that leaves.
+const LEAVING: usize = 1;
 
-/// Jobs of `owner` that completed, submitted through all instances in turn.
-async fn ended_jobs(deployment: &Deployment, owner: usize, count: usize) -> Vec<Job> {
+/// Runs jobs with keys of `owner`, submitted through all instances in turn.
+async fn completed_jobs(deployment: &Deployment, owner: usize, count: usize) -> Vec<Job> {
     let mut jobs = Vec::new();
     for number in 0..count {
         let key = deployment.key_owned_by(owner, number % 2 == 0);
@@ -36,24 +37,23 @@
     jobs
 }
 
-/// Submits each job again through each of `entries`; the answers.
-async fn resubmitted(deployment: &Deployment, jobs: &[Job], entries: &[usize]) -> Vec<Value> {
+/// Submits each job again through each of `entries`, and returns the answers.
+async fn resubmit(deployment: &Deployment, jobs: &[Job], entries: &[usize]) -> Vec<Value> {
     let mut answers = Vec::new();
     for job in jobs {
         for &entry in entries {
-            answers.push(settled_answer(deployment, job, entry).await);
+            answers.push(submit_until_settled(deployment, job, entry).await);
         }
     }
     answers
 }
 
-/// The answer of one entry; asked again while it says that a change of members
-/// has not reached it yet.
-async fn settled_answer(deployment: &Deployment, job: &Job, entry: usize) -> Value {
-    let begun = Instant::now();
+/// Submits a job, and repeats it while the instance does not know the key's new owner.
+async fn submit_until_settled(deployment: &Deployment, job: &Job, entry: usize) -> Value {
+    let started = Instant::now();
     loop {
         let answer = deployment.world.submit(entry, job).await;
-        if reason_of(&answer) != "not_vouched" || begun.elapsed() > SETTLED_MAX {
+        if reason_of(&answer) != "not_vouched" || started.elapsed() > SETTLED_MAX {
             return answer;
         }
         let retry_ms = answer["retry_after_ms"].as_u64().unwrap();
@@ -68,24 +68,24 @@
     }
 }
 
-/// Asserts that each request that reached an instance had a whole answer.
-fn assert_none_cut_off(deployment: &Deployment) {
+/// Asserts that each request that reached an instance got a complete response.
+fn assert_all_answered(deployment: &Deployment) {
     let requests = deployment.world.requests().into_iter();
-    let cut = requests.filter(|entry| entry.status == 0 && entry.reason != UNREACHABLE);
-    let cut: Vec<_> = cut.collect();
-    assert!(cut.is_empty(), "{cut:#?}");
+    let unanswered = requests.filter(|entry| entry.status == 0 && entry.reason != UNREACHABLE);
+    let unanswered: Vec<_> = unanswered.collect();
+    assert!(unanswered.is_empty(), "{unanswered:#?}");
 }
 
-async fn stop(deployment: &mut Deployment, leavers: &[usize]) -> Duration {
-    let begun = Instant::now();
-    for &leaver in leavers {
-        deployment.instances[leaver].terminate();
+async fn stop(deployment: &mut Deployment, instances: &[usize]) -> Duration {
+    let started = Instant::now();
+    for &index in instances {
+        deployment.instances[index].terminate();
     }
-    for &leaver in leavers {
-        let code = deployment.instances[leaver].exit_code(STOP_MAX).await;
-        assert_eq!(code, Some(0), "instance {leaver}");
+    for &index in instances {
+        let code = deployment.instances[index].exit_code(STOP_MAX).await;
+        assert_eq!(code, Some(0), "instance {index}");
     }
-    begun.elapsed()
+    started.elapsed()
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
@@ -97,24 +97,24 @@
     };
     let mut deployment = Deployment::start(size).await;
     let balancer = Balancer::start(&deployment.world);
-    let everyone: Vec<usize> = (0..6).collect();
-    let callers = Callers::start(&deployment.world, everyone.clone(), PERIOD_MS);
-    let mut ended = Vec::new();
-    let mut longest = Duration::ZERO;
-    for leaver in 0..6 {
-        ended.extend(ended_jobs(&deployment, leaver, 2).await);
-        longest = longest.max(stop(&mut deployment, &[leaver]).await);
-        deployment.instances[leaver].restart();
+    let all: Vec<usize> = (0..6).collect();
+    let callers = Callers::start(&deployment.world, all.clone(), PERIOD_MS);
+    let mut completed = Vec::new();
+    let mut longest_stop = Duration::ZERO;
+    for leaving in 0..6 {
+        completed.extend(completed_jobs(&deployment, leaving, 2).await);
+        longest_stop = longest_stop.max(stop(&mut deployment, &[leaving]).await);
+        deployment.instances[leaving].restart();
         deployment.list_instances().await;
         deployment.until_served().await;
     }
     let complete = callers.finish().await.complete;
     drop(balancer);
-    // The memory of the first has passed through two more hands by now.
-    assert_remembered(&resubmitted(&deployment, &ended, &everyone).await);
+    // The jobs of the first instance have been handed over twice more by now.
+    assert_remembered(&resubmit(&deployment, &completed, &all).await);
     let tally = deployment.verdict();
-    eprintln!("{complete} jobs complete, longest stop {longest:?}");
-    assert_none_cut_off(&deployment);
+    eprintln!("{complete} jobs complete, longest stop {longest_stop:?}");
+    assert_all_answered(&deployment);
     assert_eq!(tally.of(&["owner_lost", "answer_lost"]), 0, "{tally:?}");
     assert!(complete > 100, "{complete}");
 }
@@ -129,44 +129,44 @@
     let mut deployment = Deployment::start(size).await;
     let _balancer = Balancer::start(&deployment.world);
     let callers = Callers::start(&deployment.world, vec![0, 1, 2, 3], PERIOD_MS);
-    let mut ended = ended_jobs(&deployment, 1, 3).await;
-    ended.extend(ended_jobs(&deployment, 2, 3).await);
+    let mut completed = completed_jobs(&deployment, 1, 3).await;
+    completed.extend(completed_jobs(&deployment, 2, 3).await);
     stop(&mut deployment, &[1, 2]).await;
     deployment.until_served_at(&[0, 3]).await;
-    assert_remembered(&resubmitted(&deployment, &ended, &[0, 3]).await);
-    until("callers went on", async || {
+    assert_remembered(&resubmit(&deployment, &completed, &[0, 3]).await);
+    until("callers continue", async || {
         deployment.world.requests().len() > 300
     })
     .await;
     assert!(callers.finish().await.complete > 20);
     deployment.verdict();
-    assert_none_cut_off(&deployment);
+    assert_all_answered(&deployment);
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn a_key_that_a_leaver_never_took_is_proven_not_run() {
     let mut deployment = Deployment::start(Size::default()).await;
     let world = Arc::clone(&deployment.world);
-    let ended = ended_jobs(&deployment, LEAVER, 1).await;
-    let key = deployment.key_owned_by(LEAVER, true);
+    let completed = completed_jobs(&deployment, LEAVING, 1).await;
+    let key = deployment.key_owned_by(LEAVING, true);
     let unsent = world.job(&key, 2, 10);
-    // Keys issued from now on may belong to the next view.
+    // Keys issued after this point may belong to the next view.
     deployment.until_served_at(&[0]).await;
-    stop(&mut deployment, &[LEAVER]).await;
+    stop(&mut deployment, &[LEAVING]).await;
     for entry in [0, 2] {
         let answer = world.submit(entry, &unsent).await;
         assert_eq!(reason_of(&answer), "owner_left", "{answer}");
         assert_eq!(answer["verdict"], "not_run", "{answer}");
-        let other = world.other_job(&ended[0].key, 2, 10);
+        let other = world.other_job(&completed[0].key, 2, 10);
         let answer = world.submit(entry, &other).await;
         assert_eq!(reason_of(&answer), "key_reused", "{answer}");
-        let answer = world.cancel(entry, &ended[0]).await;
+        let answer = world.cancel(entry, &completed[0]).await;
         assert_eq!(answer["state"], "complete", "{answer}");
     }
-    deployment.instances[LEAVER].restart();
+    deployment.instances[LEAVING].restart();
     deployment.list_instances().await;
     deployment.until_served().await;
-    let answer = world.submit(LEAVER, &unsent).await;
+    let answer = world.submit(LEAVING, &unsent).await;
     assert_eq!(reason_of(&answer), "owner_left", "{answer}");
     deployment.verdict();
 }
@@ -178,44 +178,44 @@
         ..Size::default()
     };
     let mut deployment = Deployment::start(size).await;
-    let jobs = ended_jobs(&deployment, LEAVER, 2).await;
+    let jobs = completed_jobs(&deployment, LEAVING, 2).await;
     let _balancer = Balancer::start(&deployment.world);
     let callers = Callers::start(&deployment.world, vec![0, 2], PERIOD_MS);
     deployment.order_platform(&FaultUpdate {
         down: Some(true),
         ..FaultUpdate::default()
     });
-    deployment.instances[LEAVER].terminate();
-    let exit = deployment.instances[LEAVER].exit_code(HINDERED_STOP_MAX);
+    deployment.instances[LEAVING].terminate();
+    let exit = deployment.instances[LEAVING].exit_code(BLOCKED_HANDOVER_STOP_MAX);
     assert_eq!(exit.await, Some(0));
-    assert_remembered(&resubmitted(&deployment, &jobs, &[0, 2]).await);
+    assert_remembered(&resubmit(&deployment, &jobs, &[0, 2]).await);
     deployment.order_platform(&FaultUpdate {
         down: Some(false),
         ..FaultUpdate::default()
     });
     deployment.until_served_at(&[0, 2]).await;
-    assert_remembered(&resubmitted(&deployment, &jobs, &[0, 2]).await);
+    assert_remembered(&resubmit(&deployment, &jobs, &[0, 2]).await);
     assert!(callers.finish().await.complete > 20);
     deployment.verdict();
-    assert_none_cut_off(&deployment);
+    assert_all_answered(&deployment);
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn a_stop_beside_a_frozen_peer_is_bounded() {
     let mut deployment = Deployment::start(Size::default()).await;
-    let jobs = ended_jobs(&deployment, LEAVER, 4).await;
+    let jobs = completed_jobs(&deployment, LEAVING, 4).await;
     deployment.instances[2].freeze();
-    deployment.instances[LEAVER].terminate();
-    let exit = deployment.instances[LEAVER].exit_code(HINDERED_STOP_MAX);
+    deployment.instances[LEAVING].terminate();
+    let exit = deployment.instances[LEAVING].exit_code(BLOCKED_HANDOVER_STOP_MAX);
     assert_eq!(exit.await, Some(0));
     deployment.instances[2].thaw();
-    until("the two that stay serve", async || {
+    until("the remaining instances serve", async || {
         deployment.is_ready(2).await
     })
     .await;
     deployment.until_served_at(&[0, 2]).await;
-    // Each was handed over, or says truthfully that it may have run.
-    for answer in resubmitted(&deployment, &jobs, &[0, 2]).await {
+    // Each job was handed over, or is reported as one that may have run.
+    for answer in resubmit(&deployment, &jobs, &[0, 2]).await {
         let lost = reason_of(&answer) == "owner_lost" && answer["verdict"] == "may_have_run";
         assert!(lost || answer["state"] == "complete", "{answer}");
     }
@@ -223,23 +223,26 @@
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn a_second_signal_ends_at_once_and_says_so() {
+async fn a_second_signal_ends_the_process_and_reports_running_jobs() {
     let mut deployment = Deployment::start(Size::default()).await;
-    let key = deployment.key_owned_by(LEAVER, true);
+    let key = deployment.key_owned_by(LEAVING, true);
     let job = deployment.world.job(&key, 2, 2_000);
     let world = Arc::clone(&deployment.world);
     let in_flight = {
         let job = job.clone();
         tokio::spawn(async move { world.submit(0, &job).await })
     };
-    until("the job runs", async || deployment.starts().len() >= 2).await;
-    deployment.instances[LEAVER].terminate();
+    until("the job is running", async || {
+        deployment.starts().len() >= 2
+    })
+    .await;
+    deployment.instances[LEAVING].terminate();
     until("the stop has begun", async || {
-        !deployment.is_ready(LEAVER).await
+        !deployment.is_ready(LEAVING).await
     })
     .await;
-    deployment.instances[LEAVER].terminate();
-    let exit = deployment.instances[LEAVER].exit_code(Duration::from_millis(500));
+    deployment.instances[LEAVING].terminate();
+    let exit = deployment.instances[LEAVING].exit_code(Duration::from_millis(500));
     assert_eq!(exit.await, Some(3));
     let answer = in_flight.await.unwrap();
     assert_eq!(answer["verdict"], "may_have_run", "{answer}");
