--- a/src/peers.rs
+++ b/src/peers.rs
@@ -18,15 +18,15 @@
 //! * [`convert`]: conversions between engine types and messages.
 
 pub mod convert;
-pub mod counters;
+mod counters;
 mod driver;
 mod forward;
 mod handover;
 mod lending;
-pub mod parts;
+mod parts;
 mod pending;
 mod recall;
-pub mod record;
+mod record;
 mod serve;
 
 use std::collections::HashMap;
@@ -54,7 +54,6 @@
 use crate::sources::platform::PlatformStore;
 use counters::PeerCounters;
 use handover::AckTable;
-pub use handover::HandoverReport;
 use pending::PendingTable;
 
 /// Follows the configured prefix in the store's keys of view logs.
@@ -80,19 +79,18 @@
 }
 
 /// Dependencies of [`Peers`].
-#[expect(missing_docs, reason = "most fields explain themselves")]
-pub struct PeersContext {
+pub(crate) struct PeersContext {
     /// The validated settings.
-    pub settings: Settings,
-    pub store: Arc<dyn PlatformStore>,
-    pub instances: InstanceList,
+    pub(crate) settings: Settings,
+    pub(crate) store: Arc<dyn PlatformStore>,
+    pub(crate) instances: InstanceList,
     /// Whether `instances` is polled; set by [`Peers`].
-    pub list_polling: watch::Sender<bool>,
-    pub config: ConfigHandle,
-    pub runtime: Arc<Runtime>,
+    pub(crate) list_polling: watch::Sender<bool>,
+    pub(crate) config: ConfigHandle,
+    pub(crate) runtime: Arc<Runtime>,
     /// Counts the requests that a planned stop waits for.
-    pub stop: Arc<StopControl>,
-    pub log: Logger,
+    pub(crate) stop: Arc<StopControl>,
+    pub(crate) log: Logger,
 }
 
 /// This instance as a member of its deployment.
@@ -121,7 +119,7 @@
     /// # Errors
     ///
     /// Fails if the peer address is invalid or cannot be listened on.
-    pub fn start(context: PeersContext) -> Result<Arc<Self>, PeersError> {
+    pub(crate) fn start(context: PeersContext) -> Result<Arc<Self>, PeersError> {
         let settings = &context.settings;
         let local_member = Member::new(&settings.instance, context.runtime.now().wall_ms);
         let address = settings.peer_address.clone();
@@ -157,7 +155,7 @@
     }
 
     /// Returns where a submission with `key` is to be sent.
-    pub fn route(&self, key: &JobKey) -> Route {
+    pub(crate) fn route(&self, key: &JobKey) -> Route {
         let route = self.membership().route(key);
         match route {
             Route::Peer(_) if self.has_taken_over(key) => Route::OwnerLost,
@@ -178,41 +176,41 @@
     }
 
     /// Whether the newest view contains this instance.
-    pub fn in_view(&self) -> bool {
+    pub(crate) fn in_view(&self) -> bool {
         self.membership().in_force()
     }
 
     /// Starts to leave: new keys go to other instances, while requests for existing
     /// keys are still answered.
-    pub fn leave(self: &Arc<Self>) {
+    pub(crate) fn leave(self: &Arc<Self>) {
         self.handle(Event::Leave);
     }
 
     /// Links to the other instances.
-    pub fn links(&self) -> &Links {
+    pub(crate) fn links(&self) -> &Links {
         &self.links
     }
 
     /// Counters of wasted messages.
-    pub fn counters(&self) -> &PeerCounters {
+    pub(crate) fn counters(&self) -> &PeerCounters {
         &self.counters
     }
 
     /// How far in the future the issue time of an admitted key may be, in
     /// milliseconds; negative if the admission limit has passed.
-    pub fn admission_lead_ms(&self) -> i64 {
+    pub(crate) fn admission_lead_ms(&self) -> i64 {
         let limit_ms = self.membership().admission_limit();
         let now_ms = self.context.runtime.now().wall_ms;
         i64::try_from(i128::from(limit_ms) - i128::from(now_ms)).unwrap_or(i64::MAX)
     }
 
     /// Version of the newest view of this instance's failure domain.
-    pub fn view_version(&self) -> u64 {
+    pub(crate) fn view_version(&self) -> u64 {
         newest_version(&self.membership(), &self.domain)
     }
 
     /// Status of the deployment as known to this instance.
-    pub fn status(&self) -> StatusResponse {
+    pub(crate) fn status(&self) -> StatusResponse {
         let config_revision = self.context.config.current().revision;
         let membership = self.membership();
         let view_version = newest_version(&membership, &self.domain);
--- a/src/peers/convert.rs
+++ b/src/peers/convert.rs
@@ -21,14 +21,14 @@
 
 /// Error in a received message.
 #[derive(Clone, Debug, Display, Error)]
-pub enum DecodeError {
+pub(super) enum DecodeError {
     /// The key is invalid.
     #[display("the key of a forwarded job is invalid")]
     Key(KeyError),
 }
 
 /// Encodes a submission for the owner of its key.
-pub fn forward_job(
+pub(super) fn forward_job(
     request_id: u64,
     submission: &Submission,
     wait: bool,
@@ -54,7 +54,7 @@
 }
 
 /// Decodes the submission of a forwarded job.
-pub fn submission(job: peer::ForwardJob) -> Result<Submission, DecodeError> {
+pub(super) fn submission(job: peer::ForwardJob) -> Result<Submission, DecodeError> {
     let key = JobKey::parse(&job.key).map_err(DecodeError::Key)?;
     let tasks: Vec<Task> = job.tasks.into_iter().map(task).collect();
     Ok(Submission {
@@ -184,7 +184,7 @@
 }
 
 /// Encodes a remembered job for the handover.
-pub fn remembered_key(job: &RememberedJob) -> peer::RememberedKey {
+pub(super) fn remembered_key(job: &RememberedJob) -> peer::RememberedKey {
     peer::RememberedKey {
         fingerprint: job.fingerprint,
         answer: Some(answer_message(0, job.key.as_str(), &job.answer)),
@@ -193,7 +193,7 @@
 
 /// Decodes a remembered job; `None` if it is invalid. Results are copied, so that they
 /// do not keep the received frame in memory.
-pub fn remembered_job(message: peer::RememberedKey) -> Option<RememberedJob> {
+pub(super) fn remembered_job(message: peer::RememberedKey) -> Option<RememberedJob> {
     let mut encoded = message.answer?;
     let key = JobKey::parse(&encoded.key).ok()?;
     for result in &mut encoded.results {
@@ -208,7 +208,7 @@
 
 /// Removes the results from an answer. A completed job becomes a failed one with the
 /// reason `result_dropped`.
-pub fn without_results(answer: &JobAnswer) -> JobAnswer {
+pub(super) fn without_results(answer: &JobAnswer) -> JobAnswer {
     match answer.clone() {
         JobAnswer::Known {
             state: JobState::Complete,
--- a/src/peers/counters.rs
+++ b/src/peers/counters.rs
@@ -4,7 +4,7 @@
 
 /// Counters since the start.
 #[derive(Debug, Default)]
-pub struct PeerCounters {
+pub(crate) struct PeerCounters {
     misrouted: AtomicU64,
     reasked: AtomicU64,
     stale_answers: AtomicU64,
@@ -12,17 +12,17 @@
 
 impl PeerCounters {
     /// Forwarded jobs that this instance does not own.
-    pub fn misrouted(&self) -> u64 {
+    pub(crate) fn misrouted(&self) -> u64 {
         self.misrouted.load(Ordering::Relaxed)
     }
 
     /// Repeated requests to the owner of a key.
-    pub fn reasked(&self) -> u64 {
+    pub(crate) fn reasked(&self) -> u64 {
         self.reasked.load(Ordering::Relaxed)
     }
 
     /// Answers without an open request: late or duplicate ones.
-    pub fn stale_answers(&self) -> u64 {
+    pub(crate) fn stale_answers(&self) -> u64 {
         self.stale_answers.load(Ordering::Relaxed)
     }
 
--- a/src/peers/forward.rs
+++ b/src/peers/forward.rs
@@ -46,7 +46,12 @@
 
 impl Peers {
     /// Submits a job to the owner of its key.
-    pub async fn submit(&self, submission: Submission, wait: bool, arrival: Arrival) -> JobAnswer {
+    pub(crate) async fn submit(
+        &self,
+        submission: Submission,
+        wait: bool,
+        arrival: Arrival,
+    ) -> JobAnswer {
         let owner = match self.route(&submission.key) {
             Route::Here => {
                 return self.context.runtime.submit(submission, wait, arrival).await;
@@ -88,7 +93,7 @@
     }
 
     /// Returns the state of a job; waits up to `wait_ms` for it to end.
-    pub async fn fetch(&self, key: &JobKey, wait_ms: u64) -> JobAnswer {
+    pub(crate) async fn fetch(&self, key: &JobKey, wait_ms: u64) -> JobAnswer {
         let owner = match self.route(key) {
             Route::Peer(owner) => owner,
             Route::OwnerLost => {
@@ -106,7 +111,7 @@
     }
 
     /// Cancels a job at the owner of its key.
-    pub async fn cancel(&self, key: &JobKey) -> JobAnswer {
+    pub(crate) async fn cancel(&self, key: &JobKey) -> JobAnswer {
         let owner = match self.route(key) {
             Route::Peer(owner) => owner,
             Route::OwnerLost => return self.recall(key, None, &OwnerRequest::Cancel).await,
--- a/src/peers/handover.rs
+++ b/src/peers/handover.rs
@@ -30,21 +30,21 @@
 /// Number of acknowledgements buffered for a transfer.
 const ACK_BUFFER: usize = 16;
 
-/// Receivers of acknowledgements, by successor.
+/// Channels that pass acknowledgements to the open transfers, by successor.
 pub(super) type AckTable = HashMap<Member, mpsc::Sender<KeyHandoverAck>>;
 
 /// Result of a handover.
 #[derive(Clone, Copy, Debug, Default, Display, PartialEq, Eq)]
 #[display("{keys} keys to {successors} successors, {unfinished} unfinished, proof: {proof}")]
-pub struct HandoverReport {
+pub(crate) struct HandoverReport {
     /// Number of keys to hand over.
-    pub keys: usize,
+    pub(crate) keys: usize,
     /// Number of successors.
-    pub successors: usize,
-    /// Number of transfers that were not completed before the deadline.
-    pub unfinished: usize,
+    pub(crate) successors: usize,
+    /// Number of transfers that were not completed.
+    pub(crate) unfinished: usize,
     /// Whether successors can tell that a missing key was never started.
-    pub proof: bool,
+    pub(crate) proof: bool,
 }
 
 /// Jobs and scopes for one successor.
@@ -68,7 +68,7 @@
     /// Hands over this instance's remembered jobs, within `limit`.
     ///
     /// Before the call, new keys must be refused and all jobs must have ended.
-    pub async fn hand_over(self: &Arc<Self>, limit: Duration) -> HandoverReport {
+    pub(crate) async fn hand_over(self: &Arc<Self>, limit: Duration) -> HandoverReport {
         let deadline = Instant::now() + limit;
         let proof = self.wait_for_removal(limit.min(REMOVAL_TIMEOUT)).await;
         // Parts accepted from now on could not be handed over any more.
@@ -95,7 +95,7 @@
 
     /// Notifies the other instances that this one ends, so that they send requests to
     /// its successors.
-    pub fn announce_departure(self: &Arc<Self>) {
+    pub(crate) fn announce_departure(self: &Arc<Self>) {
         let mut commands = Vec::new();
         let mut membership = self.membership();
         membership.say_gone(&mut commands);
@@ -222,7 +222,7 @@
         let number = part.part;
         while !self.was_removed(to) {
             let address = self.membership().address(to);
-            // Errors are ignored: the part is sent again without an acknowledgement.
+            // Errors are ignored: a part that is not acknowledged is sent again.
             self.send(to, &address, Body::KeyHandover(part.clone()));
             let acknowledged = timeout(RESEND_INTERVAL, async {
                 loop {
--- a/src/peers/parts.rs
+++ b/src/peers/parts.rs
@@ -7,14 +7,14 @@
 
 /// Limits of the handover to one successor.
 #[derive(Clone, Copy, Debug)]
-pub struct PartLimits {
+pub(super) struct PartLimits {
     /// Maximum size of a part, in bytes; results of larger jobs are dropped.
-    pub part_bytes_max: usize,
+    pub(super) part_bytes_max: usize,
     /// Maximum number of keys in a part.
-    pub part_keys_max: usize,
+    pub(super) part_keys_max: usize,
     /// Maximum size of all results, in bytes. Results of the newest keys are preferred;
     /// jobs beyond the limit are handed over without results.
-    pub results_bytes_max: usize,
+    pub(super) results_bytes_max: usize,
 }
 
 impl Default for PartLimits {
@@ -31,7 +31,7 @@
 const KEY_BYTES: usize = 300;
 
 /// Splits `jobs` into parts, in order; returns at least one part, which may be empty.
-pub fn parts(jobs: &[RememberedJob], limits: &PartLimits) -> Vec<Vec<RememberedKey>> {
+pub(super) fn parts(jobs: &[RememberedJob], limits: &PartLimits) -> Vec<Vec<RememberedKey>> {
     let mut parts = vec![Vec::new()];
     let mut part_bytes = 0;
     let mut results_bytes = 0;
--- a/src/peers/pending.rs
+++ b/src/peers/pending.rs
@@ -16,14 +16,14 @@
 
 /// Open requests by ID.
 #[derive(Debug, Default)]
-pub struct PendingTable {
+pub(super) struct PendingTable {
     next_id: AtomicU64,
     shards: [Mutex<Shard>; SHARDS],
 }
 
 /// An open request; it is closed when dropped.
 #[derive(Debug)]
-pub struct PendingRequest<'a> {
+pub(super) struct PendingRequest<'a> {
     table: &'a PendingTable,
     id: u64,
     answers: mpsc::Receiver<JobAnswer>,
@@ -31,7 +31,7 @@
 
 impl PendingTable {
     /// Opens a request with a unique ID.
-    pub fn open(&self) -> PendingRequest<'_> {
+    pub(super) fn open(&self) -> PendingRequest<'_> {
         let id = self.next_id.fetch_add(1, Ordering::Relaxed) + 1;
         let (sender, answers) = mpsc::channel(ANSWERS_MAX);
         self.shard(id).insert(id, sender);
@@ -44,7 +44,7 @@
 
     /// Passes an answer to its request; returns `false` if the request is not open or
     /// its buffer is full.
-    pub fn answer(&self, answer: JobAnswer) -> bool {
+    pub(super) fn answer(&self, answer: JobAnswer) -> bool {
         let shard = self.shard(answer.request_id);
         let Some(sender) = shard.get(&answer.request_id) else {
             return false;
@@ -62,12 +62,12 @@
 
 impl PendingRequest<'_> {
     /// The request ID to send in the message.
-    pub fn id(&self) -> u64 {
+    pub(super) fn id(&self) -> u64 {
         self.id
     }
 
     /// Waits for the next answer.
-    pub async fn next(&mut self) -> Option<JobAnswer> {
+    pub(super) async fn next(&mut self) -> Option<JobAnswer> {
         self.answers.recv().await
     }
 }
--- a/src/peers/record.rs
+++ b/src/peers/record.rs
@@ -5,7 +5,7 @@
 
 /// Error in a stored view log.
 #[derive(Debug, Display, Error)]
-pub enum RecordError {
+pub(super) enum RecordError {
     /// The value cannot be parsed.
     #[display("cannot parse the stored view log: {_0}")]
     Json(serde_json::Error),
@@ -15,12 +15,12 @@
 }
 
 /// Encodes a view log for the store.
-pub fn encode(log: &ViewLog) -> Vec<u8> {
+pub(super) fn encode(log: &ViewLog) -> Vec<u8> {
     serde_json::to_vec(log).unwrap_or_default()
 }
 
 /// Decodes and validates a stored view log.
-pub fn decode(value: &[u8]) -> Result<ViewLog, RecordError> {
+pub(super) fn decode(value: &[u8]) -> Result<ViewLog, RecordError> {
     let log: ViewLog = serde_json::from_slice(value).map_err(RecordError::Json)?;
     log.check().map_err(RecordError::Views)?;
     Ok(log)
--- a/src/sources/backoff.rs
+++ b/src/sources/backoff.rs
@@ -6,7 +6,7 @@
 
 /// Delays between retries, doubled after each failure.
 #[derive(Clone, Debug)]
-pub struct Backoff {
+pub(super) struct Backoff {
     min_ms: u64,
     max_ms: u64,
     next_ms: u64,
@@ -14,7 +14,7 @@
 
 impl Backoff {
     /// Creates a backoff with the limits of the settings.
-    pub fn new(settings: &PlatformSettings) -> Self {
+    pub(super) fn new(settings: &PlatformSettings) -> Self {
         let min_ms = settings.backoff_min_ms.max(1);
         Self {
             min_ms,
@@ -25,7 +25,7 @@
 
     /// Returns the next delay. Half of it is random, so that instances whose calls
     /// failed at the same time do not retry at the same time.
-    pub fn next_delay(&mut self) -> Duration {
+    pub(super) fn next_delay(&mut self) -> Duration {
         let full_ms = self.next_ms;
         self.next_ms = full_ms.saturating_mul(2).min(self.max_ms);
         let jitter_ms = rand::random_range(0..=full_ms / 2);
@@ -33,7 +33,7 @@
     }
 
     /// Returns to the minimum delay after a success.
-    pub fn reset(&mut self) {
+    pub(super) fn reset(&mut self) {
         self.next_ms = self.min_ms;
     }
 }
--- a/src/sources/config.rs
+++ b/src/sources/config.rs
@@ -18,7 +18,7 @@
 use super::platform::PlatformStore;
 
 mod sync;
-pub mod write;
+pub(crate) mod write;
 
 /// Follows the configured prefix in the store's keys of resources.
 const CONFIG_PART: &str = "config/";
--- a/src/sources/config/write.rs
+++ b/src/sources/config/write.rs
@@ -20,7 +20,7 @@
 
 /// Error of a conditional write.
 #[derive(Clone, Debug, Display, Error, PartialEq, Eq)]
-pub enum WriteError {
+pub(crate) enum WriteError {
     /// The key was changed by another write; nothing was written.
     #[display("another change came first")]
     Conflict {
@@ -44,7 +44,7 @@
 /// Writes `value` to the key, or removes the key if `value` is `None`, unless the
 /// key has changed since it was read as `before`. Returns the revision of the value,
 /// or 0 for a removal.
-pub async fn write_if_unchanged(
+pub(crate) async fn write_if_unchanged(
     store: &dyn PlatformStore,
     settings: &PlatformSettings,
     key: &str,
