--- a/src/links/outbound.rs
+++ b/src/links/outbound.rs
@@ -82,14 +82,14 @@
     timeout: Duration,
 }
 
-/// Counts its messages as lost when dropped, unless `settled` was called.
+/// Counts its messages as lost when dropped, unless `finish` was called.
 struct InFlight<'a> {
     messages: usize,
     lost: &'a Counter,
 }
 
 impl InFlight<'_> {
-    fn settled(mut self) -> usize {
+    fn finish(mut self) -> usize {
         std::mem::take(&mut self.messages)
     }
 }
@@ -288,12 +288,12 @@
         };
         match timeout(frame.timeout, writer.send(frame.bytes)).await {
             Ok(Ok(())) => {
-                counters.messages_out.add(in_flight.settled());
+                counters.messages_out.add(in_flight.finish());
                 true
             }
             Ok(Err(_)) => false,
             Err(_) => {
-                counters.late.add(in_flight.settled());
+                counters.late.add(in_flight.finish());
                 counters.redials.add(1);
                 false
             }
