--- a/crates/core/src/drain.rs
+++ b/crates/core/src/drain.rs
@@ -33,12 +33,12 @@
     },
     /// The instance may exit.
     #[display("{_0}")]
-    Finished(Ending),
+    Finished(DrainOutcome),
 }
 
 /// How a stop ended.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq)]
-pub enum Ending {
+pub enum DrainOutcome {
     /// Nothing was in flight any more.
     #[display("drained")]
     Drained,
@@ -81,7 +81,7 @@
     }
 
     /// Whether new work is taken.
-    pub fn accepts(&self) -> bool {
+    pub fn accepts_work(&self) -> bool {
         matches!(
             self.state,
             DrainState::Serving | DrainState::Announcing { .. }
@@ -104,7 +104,7 @@
         match self.state {
             DrainState::Serving => self.request(now),
             DrainState::Announcing { .. } | DrainState::Refusing { .. } => {
-                self.state = DrainState::Finished(Ending::AtOnce);
+                self.state = DrainState::Finished(DrainOutcome::AtOnce);
                 self.state
             }
             DrainState::Finished(_) => self.state,
@@ -122,10 +122,10 @@
                 self.state = DrainState::Refusing { ends_ms };
             }
             DrainState::Refusing { .. } if in_flight == 0 => {
-                self.state = DrainState::Finished(Ending::Drained);
+                self.state = DrainState::Finished(DrainOutcome::Drained);
             }
             DrainState::Refusing { ends_ms } if now.mono_ms >= ends_ms => {
-                self.state = DrainState::Finished(Ending::BudgetSpent);
+                self.state = DrainState::Finished(DrainOutcome::BudgetSpent);
             }
             _ => {}
         }
--- a/crates/core/src/handover.rs
+++ b/crates/core/src/handover.rs
@@ -72,7 +72,7 @@
     }
 
     /// Forgets scopes whose keys have all expired.
-    pub fn forget_before(&mut self, horizon_ms: u64) {
+    pub fn expire_before(&mut self, horizon_ms: u64) {
         self.by_path.retain(|_, scope| scope.until_ms >= horizon_ms);
     }
 
@@ -108,7 +108,12 @@
     /// The scopes that `me` hands on when it leaves: those that it took over,
     /// now one step longer, and that of its `own` keys. It remembers keys
     /// issued from `remembered_ms` on.
-    pub fn handed_on(&self, me: &Member, own: Scope, remembered_ms: u64) -> Vec<HandoverScope> {
+    pub fn outgoing_scopes(
+        &self,
+        me: &Member,
+        own: Scope,
+        remembered_ms: u64,
+    ) -> Vec<HandoverScope> {
         let taken = self.by_path.iter().map(|(path, scope)| {
             let mut path = path.clone();
             path.push(me.clone());
--- a/crates/core/src/key.rs
+++ b/crates/core/src/key.rs
@@ -129,12 +129,12 @@
     ///
     /// A minted key names its own; others are spread over `domains` by hash.
     /// `None` where a minted key names a failure domain that is not listed.
-    pub fn home<'a>(&self, domains: &'a [String]) -> Option<&'a str> {
+    pub fn home_domain<'a>(&self, domains: &'a [String]) -> Option<&'a str> {
         match self.domain_tag {
             Some(tag) => domains.iter().find(|domain| domain_tag(domain) == tag),
             None => domains
                 .iter()
-                .max_by_key(|domain| rendezvous(self.hash(), domain)),
+                .max_by_key(|domain| rendezvous_weight(self.hash(), domain)),
         }
         .map(String::as_str)
     }
@@ -147,6 +147,6 @@
 
 /// Weight of `name` for a key's hash: highest random weight (Thaler and
 /// Ravishankar, 1998), so that a change of members moves only the keys it must.
-pub fn rendezvous(key_hash: u64, name: &str) -> u64 {
+pub fn rendezvous_weight(key_hash: u64, name: &str) -> u64 {
     xxhash_rust::xxh3::xxh3_64_with_seed(name.as_bytes(), key_hash)
 }
--- a/crates/core/src/membership.rs
+++ b/crates/core/src/membership.rs
@@ -275,7 +275,7 @@
     }
 
     /// Whether the newest view still has this instance.
-    pub fn in_force(&self) -> bool {
+    pub fn in_newest_view(&self) -> bool {
         self.newest_view().is_some_and(|view| view.has(&self.me))
     }
 
@@ -305,7 +305,10 @@
         let retry = Route::Unknown {
             retry_after_ms: self.params.heartbeat_ms,
         };
-        let Some(known) = key.home(&self.domains).and_then(|home| self.logs.get(home)) else {
+        let Some(known) = key
+            .home_domain(&self.domains)
+            .and_then(|home| self.logs.get(home))
+        else {
             return retry;
         };
         let Some(view) = known.log.covering(key.issued_ms()) else {
@@ -324,7 +327,7 @@
     /// Who answers for `key` from memory, where [`Self::route`] says that its
     /// owner is lost; with the newest view known of the key's home.
     pub fn succession(&self, key: &JobKey) -> Option<(Succession, u64)> {
-        let home = key.home(&self.domains)?;
+        let home = key.home_domain(&self.domains)?;
         let log = &self.logs.get(home)?.log;
         let succession = log.succession(key, |member| self.is_gone(member))?;
         Some((succession, log.version()))
@@ -339,7 +342,7 @@
     }
 
     /// Tells others that this instance has handed its memory over and ends.
-    pub fn say_gone(&mut self, commands: &mut Vec<Command>) {
+    pub fn announce_exit(&mut self, commands: &mut Vec<Command>) {
         self.ended = true;
         self.tell_domain(commands);
         self.tell_all_others(commands);
@@ -355,12 +358,12 @@
     fn route_own(&self, view: &View, key: &JobKey, retry: Route) -> Route {
         if self.params.mutation == Some(Mutation::NoIncarnationCheck) && !view.has(&self.me) {
             return match key.issued_ms() <= self.vouching.limit_ms() {
-                true => Route::Here,
+                true => Route::Local,
                 false => retry,
             };
         }
         match self.vouching.admission(view.version, key.issued_ms()) {
-            Admission::Allowed => Route::Here,
+            Admission::Allowed => Route::Local,
             Admission::TooEarly => Route::OwnerLost,
             Admission::Waiting => retry,
             Admission::Ahead(ms) => Route::Unknown {
--- a/crates/core/src/membership/proposer.rs
+++ b/crates/core/src/membership/proposer.rs
@@ -152,7 +152,7 @@
             .map_or(u64::MAX, |read| now_ms.saturating_sub(read));
         let wanted_ms = now_ms.saturating_sub(proposer.wanted_mono_ms);
         let change = !wanted.is_empty() && wanted_ms >= self.turn_ms(wanted);
-        let poll_ms = match self.in_force() {
+        let poll_ms = match self.in_newest_view() {
             true => self.params.store_poll_ms,
             false => 2 * self.params.store_retry_ms,
         };
--- a/crates/core/src/membership/types.rs
+++ b/crates/core/src/membership/types.rs
@@ -225,7 +225,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Route {
     /// This instance owns the key and may admit it now.
-    Here,
+    Local,
     /// That instance owns the key.
     Peer(Member),
     /// The key's owner is lost; what it did with the key is unknown.
--- a/crates/core/src/view.rs
+++ b/crates/core/src/view.rs
@@ -18,7 +18,7 @@
 use serde::{Deserialize, Serialize};
 use trefoil_schema::peer;
 
-use crate::key::{JobKey, rendezvous};
+use crate::key::{JobKey, rendezvous_weight};
 
 /// An instance and the number of its start.
 #[derive(Clone, Debug, Display, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
@@ -225,7 +225,7 @@
 
     /// Members that answer for keys of `member` after it, by
     /// [`Self::succession`].
-    pub fn heirs(&self, member: &Member) -> Vec<Member> {
+    pub fn successors(&self, member: &Member) -> Vec<Member> {
         let pairs = self.views.windows(2);
         let removals = pairs.filter(|pair| pair[0].has(member) && !pair[1].has(member));
         let mut heirs: Vec<Member> = removals.flat_map(|pair| pair[1].members.clone()).collect();
@@ -296,7 +296,7 @@
     fn owner_but(&self, key: &JobKey, without: &Member) -> Option<&Member> {
         let hash = key.hash();
         let others = self.members.iter().filter(|member| *member != without);
-        others.max_by_key(|member| rendezvous(hash, &member.name))
+        others.max_by_key(|member| rendezvous_weight(hash, &member.name))
     }
 
     /// The member that owns `key` within this view.
@@ -304,6 +304,6 @@
         let hash = key.hash();
         self.members
             .iter()
-            .max_by_key(|member| rendezvous(hash, &member.name))
+            .max_by_key(|member| rendezvous_weight(hash, &member.name))
     }
 }
--- a/crates/core/tests/drain.rs
+++ b/crates/core/tests/drain.rs
@@ -1,6 +1,6 @@
 //! The phases of a planned stop, in virtual time.
 
-use trefoil_core::drain::{Drain, DrainState, Ending};
+use trefoil_core::drain::{Drain, DrainOutcome, DrainState};
 use trefoil_core::time::Now;
 use trefoil_schema::settings::DrainSettings;
 
@@ -26,7 +26,7 @@
 fn serves_until_told_to_stop() {
     let mut drain = drain();
     assert_eq!(drain.step(at(1_000_000), 0), DrainState::Serving);
-    assert!(drain.is_ready() && drain.accepts());
+    assert!(drain.is_ready() && drain.accepts_work());
     assert_eq!(drain.next_step_ms(), None);
 }
 
@@ -36,9 +36,12 @@
     drain.signal(at(0));
     assert!(!drain.is_ready());
     drain.step(at(ANNOUNCE_MS - 1), 0);
-    assert!(drain.accepts(), "idle, but others may not have noticed yet");
+    assert!(
+        drain.accepts_work(),
+        "idle, but others may not have noticed yet"
+    );
     drain.step(at(ANNOUNCE_MS), 1);
-    assert!(!drain.accepts());
+    assert!(!drain.accepts_work());
     assert_eq!(drain.next_step_ms(), Some(START_MS + BUDGET_MS));
 }
 
@@ -50,7 +53,7 @@
     drain.step(at(ANNOUNCE_MS + 1), 1);
     assert!(matches!(drain.state(), DrainState::Refusing { .. }));
     let last = drain.step(at(ANNOUNCE_MS + 2), 0);
-    assert_eq!(last, DrainState::Finished(Ending::Drained));
+    assert_eq!(last, DrainState::Finished(DrainOutcome::Drained));
 }
 
 #[test]
@@ -63,7 +66,7 @@
     let early = drain.step(at(BUDGET_MS - 1), 1);
     assert!(matches!(early, DrainState::Refusing { .. }));
     let last = drain.step(at(BUDGET_MS), 1);
-    assert_eq!(last, DrainState::Finished(Ending::BudgetSpent));
+    assert_eq!(last, DrainState::Finished(DrainOutcome::BudgetSpent));
 }
 
 #[test]
@@ -76,7 +79,7 @@
         };
         drain.step(at(steps_ms), 1);
         let last = drain.signal(at(steps_ms + 1));
-        assert_eq!(last, DrainState::Finished(Ending::AtOnce));
+        assert_eq!(last, DrainState::Finished(DrainOutcome::AtOnce));
     }
 }
 
@@ -96,7 +99,7 @@
     drain.signal(at(0));
     drain.step(at(BUDGET_MS), 0);
     let last = drain.step(at(BUDGET_MS), 0);
-    assert_eq!(last, DrainState::Finished(Ending::Drained));
+    assert_eq!(last, DrainState::Finished(DrainOutcome::Drained));
 }
 
 #[test]
@@ -120,7 +123,7 @@
     drain.signal(at(ANNOUNCE_MS));
     drain.request(at(ANNOUNCE_MS));
     let last = drain.step(at(BUDGET_MS), 7);
-    assert_eq!(last, DrainState::Finished(Ending::Drained));
+    assert_eq!(last, DrainState::Finished(DrainOutcome::Drained));
 }
 
 #[test]
@@ -132,7 +135,7 @@
     drain.signal(at(0));
     drain.step(at(100), 1);
     let last = drain.step(at(100), 1);
-    assert_eq!(last, DrainState::Finished(Ending::BudgetSpent));
+    assert_eq!(last, DrainState::Finished(DrainOutcome::BudgetSpent));
 }
 
 #[test]
--- a/crates/core/tests/handover.rs
+++ b/crates/core/tests/handover.rs
@@ -53,7 +53,7 @@
     for key in keys_of(&joined, "b") {
         assert_eq!(joined.succession(&key, stays), None);
     }
-    assert_eq!(joined.heirs(&member("a")), members(&["b", "c"]));
+    assert_eq!(joined.successors(&member("a")), members(&["b", "c"]));
 }
 
 #[test]
@@ -108,7 +108,7 @@
 
 /// `scopes` takes over what `from` hands on.
 fn take_over(scopes: &mut Scopes, from: &Scopes, name: &str, own: Scope) {
-    let handed = from.handed_on(&member(name), own, START_WALL_MS - 500);
+    let handed = from.outgoing_scopes(&member(name), own, START_WALL_MS - 500);
     handed.iter().for_each(|scope| scopes.insert(scope));
 }
 
@@ -171,7 +171,7 @@
         };
         assert_eq!(at_c.absence(&key, &succession, 3), expected);
     }
-    at_c.forget_before(START_WALL_MS + 9_001);
+    at_c.expire_before(START_WALL_MS + 9_001);
     let succession = views.succession(&keys_of(&views, "a")[0], stays).unwrap();
     assert_eq!(
         at_c.absence(&keys_of(&views, "a")[0], &succession, 3),
--- a/crates/core/tests/history_support/handover.rs
+++ b/crates/core/tests/history_support/handover.rs
@@ -49,7 +49,7 @@
     /// Hands memory over once the view no longer has a leaver, and ends it.
     pub fn hand_over_if_removed(&mut self, at: usize) {
         let node = &self.nodes[at];
-        let due = node.membership.leaving() && !node.membership.in_force();
+        let due = node.membership.leaving() && !node.membership.in_newest_view();
         let known = node.membership.view_log(super::DOMAIN).is_some();
         let Some(rules) = self.handover.filter(|_| due && known) else {
             return;
@@ -61,7 +61,7 @@
         self.nodes[at].memory.left = true;
         self.hand_over(at, rules);
         let mut commands = Vec::new();
-        self.nodes[at].membership.say_gone(&mut commands);
+        self.nodes[at].membership.announce_exit(&mut commands);
         for command in commands {
             self.carry_out(at, command);
         }
@@ -79,12 +79,12 @@
             },
             _ => right,
         };
-        let scopes = node.memory.scopes.handed_on(&me, own, 0);
+        let scopes = node.memory.scopes.outgoing_scopes(&me, own, 0);
         let mut keys = node.seen.clone();
         if rules != Rules::Broken(Broken::OwnKeysOnly) {
             keys.extend(node.memory.taken.iter().cloned());
         }
-        for heir in log.heirs(&me) {
+        for heir in log.successors(&me) {
             let Some(to) = self.reached_for_handover(at, &heir) else {
                 continue;
             };
--- a/crates/core/tests/history_support/mod.rs
+++ b/crates/core/tests/history_support/mod.rs
@@ -324,8 +324,8 @@
     fn route(&mut self, at: usize, key: JobKey, hops: u32) {
         let incarnation = self.nodes[at].member.incarnation;
         match self.nodes[at].membership.route(&key) {
-            Route::Here if self.nodes[at].memory.refuses_new(self.handover) => {}
-            Route::Here if self.nodes[at].seen.insert(key.clone()) => {
+            Route::Local if self.nodes[at].memory.refuses_new(self.handover) => {}
+            Route::Local if self.nodes[at].seen.insert(key.clone()) => {
                 let delay_ms = self.rng.random_range(0..50);
                 let start = Happening::Start {
                     at,
--- a/crates/core/tests/membership.rs
+++ b/crates/core/tests/membership.rs
@@ -193,7 +193,7 @@
         assert!(serves_all(&mut world));
     }
     assert_eq!(members(&world), ["n1#1", "n2#1"]);
-    assert!(!world.nodes[0].membership.in_force());
+    assert!(!world.nodes[0].membership.in_newest_view());
 }
 
 #[test]
--- a/src/bin/trefoild/cli.rs
+++ b/src/bin/trefoild/cli.rs
@@ -5,7 +5,7 @@
 use std::process::ExitCode;
 
 use clap::{Arg, ArgAction, ArgMatches, Command, value_parser};
-use trefoil_core::drain::Ending;
+use trefoil_core::drain::DrainOutcome;
 use trefoilbay::server;
 use trefoilbay::util::log;
 use trefoilbay::util::settings::{self, Settings};
@@ -91,13 +91,13 @@
     let ending = runtime.block_on(start(settings, log))?;
     runtime.shutdown_background();
     Ok(match ending {
-        Ending::Drained => ExitCode::SUCCESS,
-        Ending::AtOnce => ExitCode::from(EXIT_AT_ONCE),
-        Ending::BudgetSpent => ExitCode::from(EXIT_BUDGET_SPENT),
+        DrainOutcome::Drained => ExitCode::SUCCESS,
+        DrainOutcome::AtOnce => ExitCode::from(EXIT_AT_ONCE),
+        DrainOutcome::BudgetSpent => ExitCode::from(EXIT_BUDGET_SPENT),
     })
 }
 
-async fn start(settings: Settings, log: slog::Logger) -> Result<Ending, Box<dyn Error>> {
+async fn start(settings: Settings, log: slog::Logger) -> Result<DrainOutcome, Box<dyn Error>> {
     let telemetry = Telemetry::start(&settings)?;
     Ok(server::run(settings, log, telemetry).await?)
 }
--- a/src/peers.rs
+++ b/src/peers.rs
@@ -186,7 +186,7 @@
 
     /// Whether the newest view has this instance.
     pub fn in_force(&self) -> bool {
-        self.membership().in_force()
+        self.membership().in_newest_view()
     }
 
     /// Hands this instance's keys over; it goes on answering for old ones.
--- a/src/peers/driver.rs
+++ b/src/peers/driver.rs
@@ -87,7 +87,7 @@
     /// it always would let the store's calls grow with the fleet.
     fn switch_list_polling(&self) {
         let membership = self.membership();
-        let in_force = membership.in_force();
+        let in_force = membership.in_newest_view();
         let mut peers = membership.status().into_iter();
         let silent =
             peers.any(|peer| peer.domain == self.domain && peer.state == PeerState::Silent);
--- a/src/peers/forward.rs
+++ b/src/peers/forward.rs
@@ -48,7 +48,7 @@
     /// Submits a job at the owner of its key.
     pub async fn submit(&self, submission: Submission, wait: bool, arrival: Arrival) -> JobAnswer {
         let owner = match self.route(&submission.key) {
-            Route::Here => {
+            Route::Local => {
                 return self.context.runtime.submit(submission, wait, arrival).await;
             }
             Route::Peer(owner) => owner,
@@ -88,7 +88,7 @@
         let owner = match self.route(key) {
             Route::Peer(owner) => owner,
             Route::OwnerLost => return self.recall(key, None, &Ask::Fetch { wait_ms }).await,
-            Route::Here | Route::Unknown { .. } => {
+            Route::Local | Route::Unknown { .. } => {
                 return self.context.runtime.fetch(key, wait_ms).await;
             }
         };
@@ -102,7 +102,7 @@
         let owner = match self.route(key) {
             Route::Peer(owner) => owner,
             Route::OwnerLost => return self.recall(key, None, &Ask::Cancel).await,
-            Route::Here | Route::Unknown { .. } => return self.context.runtime.cancel(key).await,
+            Route::Local | Route::Unknown { .. } => return self.context.runtime.cancel(key).await,
         };
         self.ask(&owner, key, &Ask::Cancel, SHORT_REQUEST_MS).await
     }
--- a/src/peers/handover.rs
+++ b/src/peers/handover.rs
@@ -97,7 +97,7 @@
     pub fn say_gone(self: &Arc<Self>) {
         let mut commands = Vec::new();
         let mut membership = self.membership();
-        membership.say_gone(&mut commands);
+        membership.announce_exit(&mut commands);
         for command in commands {
             self.execute(command);
         }
@@ -121,11 +121,11 @@
         };
         let own = membership.handover_scope(memory.from_ms);
         let scopes = match proof {
-            true => self.scopes().handed_on(&self.me, own, memory.from_ms),
+            true => self.scopes().outgoing_scopes(&self.me, own, memory.from_ms),
             false => Vec::new(),
         };
         let mut by_holder = by_holder(&known.log, &self.me, memory.jobs);
-        for heir in known.log.heirs(&self.me) {
+        for heir in known.log.successors(&self.me) {
             by_holder.entry(heir).or_default();
         }
         let errand = |(to, jobs)| Errand {
@@ -276,7 +276,7 @@
         let accepted = refused == 0;
         if accepted && part.last {
             let window_ms = self.context.settings.jobs.key_window_ms;
-            scopes.forget_before(now.wall_ms.saturating_sub(window_ms));
+            scopes.expire_before(now.wall_ms.saturating_sub(window_ms));
             part.scopes.iter().for_each(|scope| scopes.insert(scope));
         }
         drop(scopes);
--- a/src/peers/serve.rs
+++ b/src/peers/serve.rs
@@ -121,7 +121,7 @@
             return JobAnswer::Refused(forward::unknown_owner(0));
         };
         match self.route(&submission.key) {
-            Route::Here => self.context.runtime.submit(submission, wait, arrival).await,
+            Route::Local => self.context.runtime.submit(submission, wait, arrival).await,
             Route::OwnerLost => {
                 let fingerprint = Some(submission.fingerprint);
                 self.recall_here(&submission.key, fingerprint).await
@@ -141,7 +141,7 @@
     async fn serve_fetch(&self, key: &JobKey, wait_ms: u64) -> JobAnswer {
         let answer = match self.route(key) {
             Route::OwnerLost => return self.recall_here(key, None).await,
-            Route::Here | Route::Peer(_) | Route::Unknown { .. } => {
+            Route::Local | Route::Peer(_) | Route::Unknown { .. } => {
                 self.context.runtime.fetch(key, wait_ms).await
             }
         };
@@ -151,7 +151,7 @@
     async fn serve_cancel(&self, key: &JobKey) -> JobAnswer {
         let answer = match self.route(key) {
             Route::OwnerLost => return self.recall_here(key, None).await,
-            Route::Here | Route::Peer(_) | Route::Unknown { .. } => {
+            Route::Local | Route::Peer(_) | Route::Unknown { .. } => {
                 self.context.runtime.cancel(key).await
             }
         };
@@ -161,7 +161,7 @@
     /// Only the owner can say that it does not know a job.
     fn unless_owner_unsettled(&self, key: &JobKey, answer: JobAnswer) -> JobAnswer {
         match self.route(key) {
-            Route::Here => answer,
+            Route::Local => answer,
             _ if !forward::is_unknown_job(&answer) => answer,
             _ => JobAnswer::Refused(forward::unknown_owner(WRONG_OWNER_RETRY_MS)),
         }
--- a/src/runtime/dispatch.rs
+++ b/src/runtime/dispatch.rs
@@ -77,7 +77,7 @@
         let Some(peers) = &self.peers else {
             return true;
         };
-        matches!(peers.route(key), Route::Here | Route::Peer(_))
+        matches!(peers.route(key), Route::Local | Route::Peer(_))
     }
 
     /// The declarations in force here.
--- a/src/server.rs
+++ b/src/server.rs
@@ -21,7 +21,7 @@
 use slog::{Logger, info, warn};
 use tokio::signal::unix::{Signal, SignalKind, signal};
 use tokio::sync::oneshot;
-use trefoil_core::drain::{DrainState, Ending};
+use trefoil_core::drain::{DrainOutcome, DrainState};
 use trefoil_schema::settings::Settings;
 
 use crate::peers::PeersError;
@@ -117,7 +117,7 @@
     settings: Settings,
     log: Logger,
     telemetry: Telemetry,
-) -> Result<Ending, ServerError> {
+) -> Result<DrainOutcome, ServerError> {
     let context = Arc::new(Context::new(settings, log, telemetry));
     let acceptor = listen(&context.settings.http_address).await?;
     catch_signals(&context)?;
@@ -125,7 +125,7 @@
     info!(context.log, "serving"; "http_address" => &context.settings.http_address);
     let ending = serve(&context, &parts, acceptor).await;
     info!(context.log, "stopped"; "ending" => %ending);
-    if ending == Ending::Drained {
+    if ending == DrainOutcome::Drained {
         let limit = context.stop.budget_left();
         context.telemetry.stop(limit).await;
     }
@@ -141,7 +141,7 @@
 }
 
 /// Serves until the planned stop has ended, then closes connections.
-async fn serve(context: &Arc<Context>, parts: &Parts, acceptor: TcpAcceptor) -> Ending {
+async fn serve(context: &Arc<Context>, parts: &Parts, acceptor: TcpAcceptor) -> DrainOutcome {
     let (close, closing) = oneshot::channel::<()>();
     let closed = async move { drop(closing.await) };
     let server = poem::Server::new_with_acceptor(acceptor).run_with_graceful_shutdown(
@@ -151,7 +151,7 @@
     );
     let server = tokio::spawn(server);
     let ending = context.stop.finished(&context.log).await;
-    if ending == Ending::Drained {
+    if ending == DrainOutcome::Drained {
         drop(close);
         let limit = CLOSE_MAX.min(context.stop.budget_left());
         close_within(server, limit, &context.log).await;
--- a/src/server/stop.rs
+++ b/src/server/stop.rs
@@ -6,7 +6,7 @@
 
 use slog::{Logger, info};
 use tokio::sync::Notify;
-use trefoil_core::drain::{Drain, DrainState, Ending};
+use trefoil_core::drain::{Drain, DrainOutcome, DrainState};
 use trefoil_core::time::Now;
 use trefoil_schema::settings::DrainSettings;
 
@@ -114,7 +114,7 @@
     }
 
     /// Steps the stop until it is finished; logs each change of phase.
-    pub async fn finished(&self, log: &Logger) -> Ending {
+    pub async fn finished(&self, log: &Logger) -> DrainOutcome {
         let mut logged = DrainState::Serving;
         loop {
             let state = self.step();
@@ -148,7 +148,7 @@
         let mut drain = self.drain();
         let before = drain.state();
         let after = drain.step(now, self.unfinished());
-        self.accepts.store(drain.accepts(), Ordering::SeqCst);
+        self.accepts.store(drain.accepts_work(), Ordering::SeqCst);
         if before == after {
             return after;
         }
--- a/tests/testsuite/caller.rs
+++ b/tests/testsuite/caller.rs
@@ -457,7 +457,7 @@
     let domains = ["elsewhere".to_owned(), DOMAIN.to_owned()];
     for key in keys {
         let key = JobKey::parse(key.as_str().unwrap()).unwrap();
-        assert_eq!(key.home(&domains), Some(DOMAIN));
+        assert_eq!(key.home_domain(&domains), Some(DOMAIN));
     }
     for uri in ["/v1/keys?count=0", "/v1/keys?count=10001", "/v1/keys?n=1"] {
         assert_eq!(
--- a/tests/testsuite/daemon.rs
+++ b/tests/testsuite/daemon.rs
@@ -12,7 +12,7 @@
 use hyper_util::rt::TokioExecutor;
 use slog::{Discard, Logger, o};
 use tokio::time::{Instant, sleep, timeout};
-use trefoil_core::drain::Ending;
+use trefoil_core::drain::DrainOutcome;
 use trefoil_fakes::platform::{self, PlatformOptions};
 use trefoil_schema::settings::DrainSettings;
 use trefoilbay::server::stop::StopControl;
@@ -189,7 +189,7 @@
     sleep(Duration::from_millis(50)).await;
     assert!(!stop.is_finished());
     drop(late);
-    assert_eq!(stop.await.unwrap(), Ending::Drained);
+    assert_eq!(stop.await.unwrap(), DrainOutcome::Drained);
     assert_eq!(start.elapsed(), Duration::from_millis(300));
 }
 
@@ -199,7 +199,7 @@
     let start = Instant::now();
     control.request();
     let _stuck = control.accept().unwrap();
-    assert_eq!(control.finished(&no_log()).await, Ending::BudgetSpent);
+    assert_eq!(control.finished(&no_log()).await, DrainOutcome::BudgetSpent);
     assert_eq!(start.elapsed(), Duration::from_millis(1_000));
     assert_eq!(control.budget_left(), Duration::ZERO);
 }
@@ -215,7 +215,7 @@
     sleep(Duration::from_millis(700)).await;
     assert!(!stop.is_finished());
     drop(hold);
-    assert_eq!(stop.await.unwrap(), Ending::Drained);
+    assert_eq!(stop.await.unwrap(), DrainOutcome::Drained);
 }
 
 #[tokio::test]
--- a/tests/testsuite/health.rs
+++ b/tests/testsuite/health.rs
@@ -5,7 +5,7 @@
 use expect_test::expect;
 use slog::{Discard, Logger, o};
 use tokio::time::sleep;
-use trefoil_core::drain::Ending;
+use trefoil_core::drain::DrainOutcome;
 use trefoilbay::server::Context;
 use trefoilbay::server::health::readiness;
 use trefoilbay::util::settings;
@@ -40,7 +40,7 @@
     tell("stop refuses");
     drop(in_flight);
     tell("nothing in flight");
-    assert_eq!(stepped.await.unwrap(), Ending::Drained);
+    assert_eq!(stepped.await.unwrap(), DrainOutcome::Drained);
     expect![[r#"
         started: {"ready":false,"reasons":["no_configuration","no_view"],"in_flight":0}
         configured: {"ready":false,"reasons":["no_view"],"in_flight":0}
--- a/tests/testsuite/support/callers.rs
+++ b/tests/testsuite/support/callers.rs
@@ -12,7 +12,7 @@
 use serde_json::{Value, json};
 use tokio::task::{JoinHandle, JoinSet};
 use tokio::time::{sleep, timeout};
-use trefoil_core::key::{JobKey, rendezvous};
+use trefoil_core::key::{JobKey, rendezvous_weight};
 use trefoil_fakes::check::history::{HistoryEntry, RequestKind, UNREACHABLE};
 use trefoil_fakes::client::{CallError, Client, Reply, request};
 use trefoil_fakes::worker::record::{TaskStart, body_hash, unix_ms};
@@ -186,9 +186,9 @@
 
     /// Whether `owner` owns `key` in `domain` while `members` serve there.
     pub fn owns(&self, domain: &str, members: &[String], owner: &str, key: &JobKey) -> bool {
-        let weight = |name: &&String| rendezvous(key.hash(), name);
+        let weight = |name: &&String| rendezvous_weight(key.hash(), name);
         let is_first = members.iter().max_by_key(weight).unwrap() == owner;
-        is_first && key.home(&self.domains) == Some(domain)
+        is_first && key.home_domain(&self.domains) == Some(domain)
     }
 
     /// Submits a job and records it; the answer's body, `Null` for none.
