--- a/crates/core/src/membership.rs
+++ b/crates/core/src/membership.rs
@@ -1,16 +1,16 @@
-//! Membership of a failure domain and the right to admit keys.
+//! Membership of a failure domain, and permission to admit keys.
 //!
-//! [`Membership`] takes events and the current instant and gives commands. It
-//! keeps heartbeats with other instances going, collects vouches for its own
-//! admissions, vouches for others, and changes its failure domain's record of
-//! views (see [`crate::view`]) when instances come, leave or fail. The design
-//! and its reasons are in `docs/design/at-most-once.md`.
+//! [`Membership`] takes events and the current time and returns commands. It
+//! exchanges heartbeats with other instances, collects vouches that let it admit
+//! keys, vouches for others, and updates its failure domain's view log (see
+//! [`crate::view`]) when instances join, leave or fail. The protocol is described
+//! in `docs/design/at-most-once.md`.
 
-mod change;
+mod heartbeat;
 mod proposer;
 mod roster;
-mod talk;
 mod types;
+mod view_change;
 mod vouching;
 
 use std::collections::BTreeMap;
@@ -31,16 +31,16 @@
 use roster::Roster;
 use vouching::{Admission, Vouching};
 
-/// A failure domain's views and the store revision that they stand at.
+/// The view log of a failure domain, as of a store revision.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct KnownLog {
-    /// The views.
+pub struct StoredLog {
+    /// The view log.
     pub log: ViewLog,
-    /// Store revision of the record; 0 where there is none.
+    /// Store revision of the log's last change, or 0 if the store has no log.
     pub revision: u64,
 }
 
-/// What one instance knows and decides of membership.
+/// Membership state machine of one instance.
 #[derive(Clone, Debug)]
 pub struct Membership {
     params: MembershipParams,
@@ -49,21 +49,23 @@
     domains: Vec<String>,
     address: String,
     leaving: bool,
-    ended: bool,
+    exiting: bool,
     config_revision: u64,
-    queued: u32,
-    running: u32,
+    queued_tasks: u32,
+    running_tasks: u32,
     now: Now,
-    logs: BTreeMap<String, KnownLog>,
+    logs: BTreeMap<String, StoredLog>,
     roster: Roster,
     vouching: Vouching,
     proposer: Proposer,
-    last_members: Vec<Member>,
+    reported_members: Vec<Member>,
 }
 
 impl Membership {
-    /// An instance that starts now. `domains` are all failure domains, the
-    /// same list everywhere; `address` is where peers dial it.
+    /// Creates the state of a starting instance.
+    ///
+    /// `domains` lists all failure domains and must be the same at every instance.
+    /// `address` is the address that peers connect to.
     pub fn new(
         params: MembershipParams,
         me: Member,
@@ -79,20 +81,20 @@
             domains: domains.to_vec(),
             address: address.to_owned(),
             leaving: false,
-            ended: false,
+            exiting: false,
             config_revision: 0,
-            queued: 0,
-            running: 0,
+            queued_tasks: 0,
+            running_tasks: 0,
             now: Now::default(),
             logs: BTreeMap::new(),
             roster: Roster::default(),
             vouching: Vouching::new(mutation),
             proposer: Proposer::default(),
-            last_members: Vec::new(),
+            reported_members: Vec::new(),
         }
     }
 
-    /// Takes in one event; pushes what is to be done.
+    /// Handles an event and appends the resulting commands.
     pub fn handle(&mut self, now: Now, event: Event, commands: &mut Vec<Command>) {
         self.now = now;
         match event {
@@ -106,12 +108,12 @@
             Event::StoreWrite(outcome) => self.on_store_write(outcome, commands),
             Event::StoreUnreachable { domain } => self.on_store_unreachable(&domain),
             Event::PlatformList(list) => self.on_list(&list),
-            Event::ConnectionRefused(member) => self.roster.refused(&member),
+            Event::ConnectionRefused(member) => self.roster.record_refused(&member),
             Event::Leave => self.leaving = true,
             Event::ConfigRevision(revision) => self.config_revision = revision,
             Event::Load { queued, running } => {
-                self.queued = queued;
-                self.running = running;
+                self.queued_tasks = queued;
+                self.running_tasks = running;
             }
         }
     }
@@ -128,14 +130,14 @@
     }
 
     fn on_vouch(&mut self, from: &Member, vouch: &Vouch, commands: &mut Vec<Command>) {
-        let counts = self
+        let is_valid = self
             .newest_view()
             .is_some_and(|view| vouch.view_version == view.version && self.in_view(view, from));
-        if !counts {
+        if !is_valid {
             return;
         }
-        self.vouching.vouched(from, vouch.until_ms);
-        self.extend(commands);
+        self.vouching.record_vouch(from, vouch.until_ms);
+        self.raise_limit(commands);
     }
 
     fn in_view(&self, view: &View, member: &Member) -> bool {
@@ -143,12 +145,12 @@
             Some(Mutation::NoIncarnationCheck) => {
                 view.members.iter().any(|m| m.name == member.name)
             }
-            _ => view.has(member),
+            _ => view.contains(member),
         }
     }
 
-    /// Raises the admission limit as far as it is vouched for.
-    fn extend(&mut self, commands: &mut Vec<Command>) {
+    /// Raises the admission limit to the latest time vouched for by a quorum.
+    fn raise_limit(&mut self, commands: &mut Vec<Command>) {
         let own_until_ms = self.now.wall_ms + self.params.vouch_ahead_ms;
         let log = self.logs.get(&self.domain).map(|known| &known.log);
         let Some(log) = log else {
@@ -162,7 +164,7 @@
             }
             None => self.me.clone(),
         };
-        if self.vouching.extend(&me, log, own_until_ms) {
+        if self.vouching.raise_limit(&me, log, own_until_ms) {
             commands.push(Command::AdmissionLimit(self.vouching.limit_ms()));
         }
     }
@@ -181,7 +183,7 @@
             self.leaving
                 .then(|| self.vouching.seal_self(&self.me, version))
         } else {
-            self.removable(&member)
+            self.is_removable(&member)
                 .then(|| self.vouching.seal(&member, version))
         };
         if let Some(seal) = seal {
@@ -194,7 +196,7 @@
             return;
         };
         self.proposer.seals.insert(member, from.clone(), seal);
-        self.advance(commands);
+        self.try_write_change(commands);
     }
 
     fn on_view_record(&mut self, record: &ViewRecord, commands: &mut Vec<Command>) {
@@ -203,18 +205,18 @@
         }
     }
 
-    /// Takes up a record if it is newer than the one known.
+    /// Adopts a view log if it is newer than the known one.
     fn adopt(&mut self, domain: &str, log: ViewLog, revision: u64, commands: &mut Vec<Command>) {
         let known = self.logs.entry(domain.to_owned()).or_default();
         if revision <= known.revision {
             return;
         }
-        *known = KnownLog { log, revision };
+        *known = StoredLog { log, revision };
         if domain == self.domain {
             self.vouching.adopt(&self.me, &known.log);
-            self.proposer.adopted(self.now, &known.log);
-            self.tell_domain(commands);
-            self.extend(commands);
+            self.proposer.on_adopted(self.now, &known.log);
+            self.send_domain_heartbeats(commands);
+            self.raise_limit(commands);
         }
         commands.push(Command::ViewChanged {
             domain: domain.to_owned(),
@@ -232,7 +234,7 @@
             .filter(|item| item.member.name != self.me.name)
             .cloned()
             .collect();
-        self.roster.listed(self.now, &others, &watched);
+        self.roster.record_list(self.now, &others, &watched);
         let me = list.iter().find(|item| item.member == self.me);
         self.leaving |= me.is_some_and(|item| item.leaving);
     }
@@ -241,48 +243,51 @@
         self.logs.get(&self.domain)?.log.newest()
     }
 
-    fn own_log(&self) -> KnownLog {
+    fn own_log(&self) -> StoredLog {
         self.logs.get(&self.domain).cloned().unwrap_or_default()
     }
 
-    /// The views of a failure domain, as known here.
-    pub fn view_log(&self, domain: &str) -> Option<&KnownLog> {
+    /// The newest known view log of a failure domain.
+    pub fn view_log(&self, domain: &str) -> Option<&StoredLog> {
         self.logs.get(domain)
     }
 
-    /// The latest key time that this instance may admit now, Unix milliseconds.
+    /// Latest issue time of keys that this instance may admit, in Unix milliseconds.
     pub fn admission_limit(&self) -> u64 {
         self.vouching.limit_ms()
     }
 
-    /// What this instance can vouch for of the keys that it owns when it hands
-    /// its memory over, the engine remembering keys from `remembered_ms` on.
+    /// The scope of this instance's own keys for a handover.
+    ///
+    /// `remembered_ms` is the earliest issue time of the keys that the engine
+    /// still remembers.
     pub fn handover_scope(&self, remembered_ms: u64) -> Scope {
         let log = &self.own_log().log;
-        // Of the keys between its limit and the first view without it, this
-        // instance has admitted none, and it admits no more.
+        // Keys between the admission limit and the first view without this
+        // instance were not admitted, and will not be.
         let covered_until_ms = log.covered_until_ms(&self.me).unwrap_or(0);
         Scope {
-            from_ms: self.vouching.alone_from_ms().max(remembered_ms),
+            from_ms: self.vouching.sole_owner_from_ms().max(remembered_ms),
             until_ms: self.vouching.limit_ms().max(covered_until_ms),
             view_version: log.version(),
         }
     }
 
-    /// Whether this instance was told to leave.
+    /// Whether this instance has been told to leave.
     pub fn leaving(&self) -> bool {
         self.leaving
     }
 
-    /// Whether the newest view still has this instance.
+    /// Whether this instance is a member of the newest view.
     pub fn in_newest_view(&self) -> bool {
-        self.newest_view().is_some_and(|view| view.has(&self.me))
+        self.newest_view()
+            .is_some_and(|view| view.contains(&self.me))
     }
 
-    /// Serving instances of this failure domain, this one included unless it
-    /// leaves; sorted.
+    /// Serving instances of this failure domain, sorted. Includes this instance
+    /// unless it is leaving.
     pub fn domain_members(&self) -> Vec<Member> {
-        let mut members = self.live_peers();
+        let mut members = self.serving_peers();
         if !self.leaving {
             members.push(self.me.clone());
         }
@@ -290,17 +295,17 @@
         members
     }
 
-    /// All other instances known.
+    /// Status of all other known instances.
     pub fn status(&self) -> Vec<MemberStatus> {
         self.roster.status(self.now, &self.params)
     }
 
-    /// Last known address of an instance; empty where there is none.
+    /// Last known address of an instance, or an empty string.
     pub fn address(&self, member: &Member) -> String {
         self.roster.address(member)
     }
 
-    /// Where a submission under `key` belongs.
+    /// Determines which instance handles submissions with `key`.
     pub fn route(&self, key: &JobKey) -> Route {
         let retry = Route::Unknown {
             retry_after_ms: self.params.heartbeat_ms,
@@ -324,8 +329,9 @@
         }
     }
 
-    /// Who answers for `key` from memory, where [`Self::route`] says that its
-    /// owner is lost; with the newest view known of the key's home.
+    /// The instance that answers for `key` if [`Self::route`] returns
+    /// [`Route::OwnerLost`], and the version of the newest known view of the
+    /// key's home domain.
     pub fn succession(&self, key: &JobKey) -> Option<(Succession, u64)> {
         let home = key.home_domain(&self.domains)?;
         let log = &self.logs.get(home)?.log;
@@ -334,18 +340,20 @@
     }
 
     fn is_gone(&self, member: &Member) -> bool {
-        let seems_gone = self.roster.has_left(member)
-            || self.roster.superseded(member)
-            || self.roster.certainly_gone(self.now, member, &self.params);
-        // The roster holds others only, so it knows no good of this instance.
-        seems_gone && *member != self.me
+        let is_gone = self.roster.has_announced_exit(member)
+            || self.roster.is_superseded(member)
+            || self
+                .roster
+                .is_confirmed_gone(self.now, member, &self.params);
+        // The roster does not contain this instance, so it cannot tell that it runs.
+        is_gone && *member != self.me
     }
 
-    /// Tells others that this instance has handed its memory over and ends.
+    /// Announces to other instances that this one has finished its handover and exits.
     pub fn announce_exit(&mut self, commands: &mut Vec<Command>) {
-        self.ended = true;
-        self.tell_domain(commands);
-        self.tell_all_others(commands);
+        self.exiting = true;
+        self.send_domain_heartbeats(commands);
+        self.announce_exit_to_other_domains(commands);
     }
 
     fn is_me(&self, owner: &Member) -> bool {
@@ -356,7 +364,7 @@
     }
 
     fn route_own(&self, view: &View, key: &JobKey, retry: Route) -> Route {
-        if self.params.mutation == Some(Mutation::NoIncarnationCheck) && !view.has(&self.me) {
+        if self.params.mutation == Some(Mutation::NoIncarnationCheck) && !view.contains(&self.me) {
             return match key.issued_ms() <= self.vouching.limit_ms() {
                 true => Route::Local,
                 false => retry,
@@ -372,8 +380,8 @@
         }
     }
 
-    fn route_peer(&self, owner: &Member, known: &KnownLog) -> Route {
-        let in_newest = known.log.newest().is_some_and(|view| view.has(owner));
+    fn route_peer(&self, owner: &Member, known: &StoredLog) -> Route {
+        let in_newest = known.log.newest().is_some_and(|view| view.contains(owner));
         let heard = self
             .roster
             .heard_within(self.now, owner, self.params.suspect_ms);
--- a/crates/core/src/membership/talk.rs
+++ b/crates/core/src/membership/heartbeat.rs
@@ -1,4 +1,4 @@
-//! Heartbeats: who is live, what each asks and knows.
+//! Heartbeats: liveness, vouch requests and gossip.
 
 use trefoil_schema::peer::message::Body;
 use trefoil_schema::peer::{Heartbeat, InstanceState, ViewRevision, Vouch};
@@ -7,21 +7,20 @@
 use super::types::Command;
 use crate::view::{Member, View};
 
-/// Most instances of other failure domains told at once that this one ends;
-/// the others notice its silence.
-const FAREWELLS_MAX: usize = 64;
+/// Maximum number of instances of other failure domains that are notified of this
+/// instance's exit. Others notice that its heartbeats stop.
+const EXIT_NOTICES_MAX: usize = 64;
 
 impl Membership {
     pub(super) fn on_tick(&mut self, entropy: u64, commands: &mut Vec<Command>) {
-        self.extend(commands);
-        self.tell_domain_with(Some(entropy), commands);
-        self.tell_others(entropy, commands);
+        self.raise_limit(commands);
+        self.send_domain_heartbeats_with(Some(entropy), commands);
+        self.gossip_to_other_domains(entropy, commands);
         self.read_other_logs(commands);
         self.poll_or_propose(commands);
         self.report_members(commands);
     }
 
-    /// Sends a message to an instance.
     pub(super) fn send(&self, to: &Member, body: Body, commands: &mut Vec<Command>) {
         commands.push(Command::Send {
             to: to.clone(),
@@ -30,24 +29,25 @@
         });
     }
 
-    /// Heartbeats to the failure domain's instances, at once.
-    pub(super) fn tell_domain(&mut self, commands: &mut Vec<Command>) {
-        self.tell_domain_with(None, commands);
+    /// Sends heartbeats without summaries to all instances of the failure domain.
+    pub(super) fn send_domain_heartbeats(&mut self, commands: &mut Vec<Command>) {
+        self.send_domain_heartbeats_with(None, commands);
     }
 
-    /// Each period one peer, chosen by `entropy`, is also told of others.
-    fn tell_domain_with(&mut self, entropy: Option<u64>, commands: &mut Vec<Command>) {
+    /// Sends heartbeats to all instances of the failure domain. If `entropy` is given,
+    /// it selects one peer that also receives summaries of other instances.
+    fn send_domain_heartbeats_with(&mut self, entropy: Option<u64>, commands: &mut Vec<Command>) {
         let view = self.newest_view().cloned();
         let peers = self.domain_peers(view.as_ref());
-        let chosen = entropy.map(|entropy| entropy as usize % peers.len().max(1));
+        let gossip_target = entropy.map(|entropy| entropy as usize % peers.len().max(1));
         for (index, to) in peers.iter().enumerate() {
-            let entropy = entropy.filter(|_| chosen == Some(index));
+            let entropy = entropy.filter(|_| gossip_target == Some(index));
             let heartbeat = self.heartbeat(view.as_ref(), to, entropy);
             self.send(to, Body::Heartbeat(heartbeat), commands);
         }
     }
 
-    /// Instances of the domain, and members of the view not heard of otherwise.
+    /// Known instances of the domain, and all other members of the view.
     fn domain_peers(&self, view: Option<&View>) -> Vec<Member> {
         let known = self.roster.members();
         let mut peers: Vec<Member> = known
@@ -61,8 +61,8 @@
         peers
     }
 
-    /// Heartbeats to a few instances of other failure domains.
-    fn tell_others(&self, entropy: u64, commands: &mut Vec<Command>) {
+    /// Sends heartbeats with summaries to a few instances of other failure domains.
+    fn gossip_to_other_domains(&self, entropy: u64, commands: &mut Vec<Command>) {
         let known = self.roster.members();
         let others: Vec<Member> = known
             .filter(|(_, peer)| peer.domain != self.domain)
@@ -71,32 +71,32 @@
         let fanout = self.params.gossip_fanout.min(others.len());
         let start = (entropy >> 16) as usize % others.len().max(1);
         let step = 1 + (entropy >> 40) as usize % others.len().max(1);
-        let mut chosen: Vec<usize> = (0..fanout)
-            .map(|turn| (start + turn * step) % others.len())
+        let mut targets: Vec<usize> = (0..fanout)
+            .map(|number| (start + number * step) % others.len())
             .collect();
-        chosen.dedup();
-        for index in chosen {
+        targets.dedup();
+        for index in targets {
             let heartbeat = self.heartbeat(None, &others[index], Some(entropy));
             self.send(&others[index], Body::Heartbeat(heartbeat), commands);
         }
     }
 
-    /// Heartbeats to instances of other failure domains, many at once.
-    pub(super) fn tell_all_others(&self, commands: &mut Vec<Command>) {
+    /// Sends heartbeats to up to [`EXIT_NOTICES_MAX`] instances of other failure domains.
+    pub(super) fn announce_exit_to_other_domains(&self, commands: &mut Vec<Command>) {
         let known = self.roster.members();
         let others = known.filter(|(_, peer)| peer.domain != self.domain);
-        for (to, _) in others.take(FAREWELLS_MAX) {
+        for (to, _) in others.take(EXIT_NOTICES_MAX) {
             let heartbeat = self.heartbeat(None, &to, None);
             self.send(&to, Body::Heartbeat(heartbeat), commands);
         }
     }
 
     fn heartbeat(&self, view: Option<&View>, to: &Member, entropy: Option<u64>) -> Heartbeat {
-        let asks = view.is_some_and(|view| {
-            let own = self.in_view(view, &self.me) && view.has(to);
-            own && self.vouching.self_sealed_version() < view.version
+        let requests_vouch = view.is_some_and(|view| {
+            let both_members = self.in_view(view, &self.me) && view.contains(to);
+            both_members && self.vouching.self_sealed_version() < view.version
         });
-        let state = match (self.ended, self.leaving) {
+        let state = match (self.exiting, self.leaving) {
             (true, _) => InstanceState::Gone,
             (false, true) => InstanceState::Leaving,
             (false, false) => InstanceState::Serving,
@@ -109,13 +109,13 @@
             domain: self.domain.clone(),
             state: state as i32,
             view_version: view.map_or(0, |view| view.version),
-            vouch_until_ms: match asks {
+            vouch_until_ms: match requests_vouch {
                 true => self.now.wall_ms + self.params.vouch_ahead_ms,
                 false => 0,
             },
             config_revision: self.config_revision,
-            queued_tasks: self.queued,
-            running_tasks: self.running,
+            queued_tasks: self.queued_tasks,
+            running_tasks: self.running_tasks,
             others: entropy.map_or(Vec::new(), |entropy| {
                 let count = self.params.gossip_summaries_max;
                 self.roster.sample(self.now, entropy, count)
@@ -135,34 +135,39 @@
         if from.name == self.me.name {
             return;
         }
-        self.roster.heard(self.now, from, heartbeat);
+        self.roster.record_heartbeat(self.now, from, heartbeat);
         let others = heartbeat.others.iter();
         let others = others.filter(|summary| {
             let instance = summary.instance.as_ref();
             instance.is_some_and(|instance| instance.name != self.me.name)
         });
         for summary in others {
-            self.roster.told(self.now, summary);
+            self.roster.record_summary(self.now, summary);
         }
         if heartbeat.domain == self.domain {
-            self.vouching.note_adopted(from, heartbeat);
-            self.answer_vouch(from, heartbeat, commands);
+            self.vouching.record_adopted(from, heartbeat);
+            self.answer_vouch_request(from, heartbeat, commands);
         }
         self.push_newer_logs(from, heartbeat, commands);
     }
 
-    fn answer_vouch(&mut self, from: &Member, heartbeat: &Heartbeat, commands: &mut Vec<Command>) {
+    fn answer_vouch_request(
+        &mut self,
+        from: &Member,
+        heartbeat: &Heartbeat,
+        commands: &mut Vec<Command>,
+    ) {
         let Some(view) = self.newest_view() else {
             return;
         };
         let version = view.version;
-        let same = heartbeat.view_version == view.version && self.in_view(view, from);
-        if heartbeat.vouch_until_ms == 0 || !same {
+        let same_view = heartbeat.view_version == view.version && self.in_view(view, from);
+        if heartbeat.vouch_until_ms == 0 || !same_view {
             return;
         }
-        let own_ms = self.now.wall_ms + self.params.gone_clock_bound_ms;
-        let until_ms = heartbeat.vouch_until_ms.min(own_ms);
-        if let Some(until_ms) = self.vouching.vouch(from, version, until_ms) {
+        let max_ms = self.now.wall_ms + self.params.gone_clock_bound_ms;
+        let until_ms = heartbeat.vouch_until_ms.min(max_ms);
+        if let Some(until_ms) = self.vouching.grant_vouch(from, version, until_ms) {
             let vouch = Vouch {
                 view_version: version,
                 until_ms,
@@ -171,30 +176,30 @@
         }
     }
 
-    /// Sends the records that the sender of a heartbeat holds in older form.
+    /// Sends the view logs of which the sender of a heartbeat has an older revision.
     fn push_newer_logs(&self, to: &Member, heartbeat: &Heartbeat, commands: &mut Vec<Command>) {
-        let held = |domain: &str| {
-            let held = heartbeat.view_revisions.iter();
-            let mut held = held.filter(|held| held.domain == domain);
-            held.next().map_or(0, |held| held.revision)
+        let peer_revision = |domain: &str| {
+            let revisions = heartbeat.view_revisions.iter();
+            let mut revisions = revisions.filter(|known| known.domain == domain);
+            revisions.next().map_or(0, |known| known.revision)
         };
         for (domain, known) in &self.logs {
-            if known.revision > held(domain) {
+            if known.revision > peer_revision(domain) {
                 let record = known.log.to_record(domain, known.revision);
                 self.send(to, Body::View(record), commands);
             }
         }
     }
 
-    /// Serving peers of this failure domain.
-    pub(super) fn live_peers(&self) -> Vec<Member> {
-        let heard = self.heard_peers().into_iter();
+    /// Peers of this failure domain that are running and not leaving.
+    pub(super) fn serving_peers(&self) -> Vec<Member> {
+        let running = self.running_peers().into_iter();
         let leaving = |member: &Member| self.roster.get(member).is_some_and(|peer| peer.leaving);
-        heard.filter(|member| !leaving(member)).collect()
+        running.filter(|member| !leaving(member)).collect()
     }
 
-    /// Peers of this failure domain that run, those about to stop among them.
-    fn heard_peers(&self) -> Vec<Member> {
+    /// Peers of this failure domain that sent a heartbeat lately, including leaving ones.
+    fn running_peers(&self) -> Vec<Member> {
         let suspect_ms = self.params.suspect_ms;
         self.roster
             .members()
@@ -204,16 +209,18 @@
             .collect()
     }
 
-    /// One that leaves still has jobs to finish, and keys of its own to admit
-    /// until they are handed over: it keeps its part of the workers until it
-    /// says that it ends, or is heard no more.
+    /// Reports the running instances of the domain if they have changed.
+    ///
+    /// A leaving instance keeps its share of the workers until it announces its exit
+    /// or its heartbeats stop: it still has jobs to finish, and admits keys until they
+    /// are handed over.
     fn report_members(&mut self, commands: &mut Vec<Command>) {
-        let mut members = self.heard_peers();
-        members.retain(|member| !self.roster.has_left(member));
+        let mut members = self.running_peers();
+        members.retain(|member| !self.roster.has_announced_exit(member));
         members.push(self.me.clone());
         members.sort();
-        if members != self.last_members {
-            self.last_members.clone_from(&members);
+        if members != self.reported_members {
+            self.reported_members.clone_from(&members);
             commands.push(Command::MembersChanged(members));
         }
     }
--- a/crates/core/src/membership/types.rs
+++ b/crates/core/src/membership/types.rs
@@ -1,41 +1,47 @@
-//! What goes into the membership decisions and what comes out.
+//! Parameters, events and commands of the membership state machine.
 
 use trefoil_schema::peer;
 use trefoil_schema::settings::{JobSettings, MembershipSettings};
 
 use crate::view::{Member, ViewLog};
 
-/// Time limits of membership, and where this instance stands.
+/// Timing parameters of the membership protocol.
 #[derive(Clone, Debug)]
 pub struct MembershipParams {
-    /// Period of heartbeats, milliseconds.
+    /// Heartbeat interval, in milliseconds.
     pub heartbeat_ms: u64,
-    /// Instances outside the failure domain told each period.
+    /// Number of instances of other failure domains that receive each heartbeat.
     pub gossip_fanout: usize,
-    /// Summaries of other instances in one heartbeat, at most.
+    /// Maximum number of instance summaries in a heartbeat.
     pub gossip_summaries_max: usize,
-    /// Silence after which an instance counts as failed, milliseconds.
+    /// Time without a heartbeat after which an instance is suspected to have
+    /// failed, in milliseconds.
     pub suspect_ms: u64,
-    /// How far ahead of now an instance asks to be vouched for, milliseconds.
+    /// How far beyond the current time vouches are requested, in milliseconds.
     pub vouch_ahead_ms: u64,
-    /// Distance of a joiner's first key time from the newest admission known.
+    /// Distance between the latest known admission limit and the first key time of
+    /// a view with new members, in milliseconds.
     pub view_change_margin_ms: u64,
-    /// Covers `vouch_ahead_ms` and the clock difference between any two
-    /// instances, where only the clock bounds a vanished one's admissions.
+    /// Upper bound, in milliseconds, of `vouch_ahead_ms` plus the clock difference
+    /// between any two instances. Bounds the admissions of a crashed instance if
+    /// its peers' promises are not known.
     pub gone_clock_bound_ms: u64,
-    /// How far the platform's instance list may lag, milliseconds.
+    /// Maximum staleness of the platform's instance list, in milliseconds.
     pub list_lag_max_ms: u64,
-    /// Age beyond which keys are refused, milliseconds.
+    /// Age at which keys are refused, in milliseconds.
     pub key_window_ms: u64,
-    /// Pause before the store is asked again, milliseconds.
+    /// Delay before store operations are retried, in milliseconds.
     pub store_retry_ms: u64,
-    /// Period of re-reading the record where nothing else asks for it.
+    /// Interval between reads of the view log if no change is pending, in
+    /// milliseconds.
     pub store_poll_ms: u64,
-    /// Wait for other instances before the first view of a new deployment.
-    pub founding_wait_ms: u64,
-    /// Wait for seals before a view change goes on with what it has.
+    /// Time to wait for other instances before the first view of a new deployment
+    /// is written, in milliseconds.
+    pub bootstrap_wait_ms: u64,
+    /// Time to wait for seals before a view change proceeds without the missing
+    /// ones, in milliseconds.
     pub seal_wait_ms: u64,
-    /// A rule to break, so that tests can show that their checks see it.
+    /// A protocol rule to violate, for mutation tests.
     #[doc(hidden)]
     pub mutation: Option<Mutation>,
 }
@@ -54,7 +60,7 @@
             key_window_ms: 600_000,
             store_retry_ms: 500,
             store_poll_ms: 10_000,
-            founding_wait_ms: 750,
+            bootstrap_wait_ms: 750,
             seal_wait_ms: 500,
             mutation: None,
         }
@@ -62,7 +68,7 @@
 }
 
 impl MembershipParams {
-    /// Time limits as set; the window of keys is a setting of jobs.
+    /// Parameters from the settings; others have their defaults.
     pub fn new(settings: &MembershipSettings, jobs: &JobSettings) -> Self {
         Self {
             heartbeat_ms: settings.heartbeat_ms,
@@ -77,192 +83,194 @@
     }
 }
 
-/// Rules that tests break on purpose.
+/// A violation of the protocol, for mutation tests.
 #[doc(hidden)]
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Mutation {
-    /// One vouch is enough: the member's own.
+    /// A member's own vouch is a quorum.
     QuorumOfOne,
-    /// A suspect is removed without seals.
+    /// Suspected members are removed without seals.
     NoSeals,
-    /// A new view covers keys from the proposer's own clock on.
-    FromNow,
-    /// A seal does not stop later vouches.
+    /// New views start at the proposer's clock.
+    ViewFromLocalClock,
+    /// Sealed members are still vouched for.
     VouchAfterSeal,
-    /// A store write with unknown outcome counts as failed, and is forgotten.
+    /// A store write with unknown outcome is repeated as if it had failed.
     UnknownIsFailure,
-    /// A store write with unknown outcome counts as done.
+    /// A store write with unknown outcome is treated as successful.
     UnknownIsDone,
-    /// A restarted instance takes the place of its former incarnation.
+    /// Incarnations of an instance are not distinguished.
     NoIncarnationCheck,
-    /// A joiner admits without word from those who owned its keys.
+    /// A new member admits keys before the former owners have confirmed the view.
     NoJoinWait,
-    /// Seals count for the newest view only, not for older ones still in use.
+    /// Older views in which a member may still collect vouches are ignored.
     NewestViewOnly,
-    /// Silence counts as proof that an instance is gone.
+    /// An instance that sends no heartbeats is treated as gone.
     SilentIsGone,
-    /// The record is written without comparing its revision.
+    /// The view log is written without comparing its revision.
     NoCompare,
 }
 
-/// An entry of the platform's list of instances.
+/// An entry of the platform's instance list.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ListedInstance {
-    /// The instance and its start.
+    /// Name and incarnation of the instance.
     pub member: Member,
-    /// Its failure domain.
+    /// Failure domain of the instance.
     pub domain: String,
-    /// Where peers dial it, IP:PORT.
+    /// Address that peers connect to, IP:PORT.
     pub address: String,
-    /// Whether the platform is stopping it.
+    /// Whether the platform is stopping the instance.
     pub leaving: bool,
 }
 
-/// Outcome of a compare-and-swap of the domain's record.
+/// Outcome of a compare-and-swap of the view log.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum StoreWrite {
-    /// It took effect at this store revision.
+    /// The log was written.
     Done {
-        /// Store revision of the change.
+        /// Store revision of the write.
         mod_revision: u64,
     },
-    /// The record had changed; nothing was written.
+    /// The log had another revision than expected; nothing was written.
     Conflict,
-    /// No answer: it may have taken effect, or may yet.
+    /// The store did not answer: the write may have taken effect, or may still do so.
     Unknown,
 }
 
-/// Something that happened.
+/// Input of [`Membership`](super::Membership).
 #[derive(Clone, Debug)]
 pub enum Event {
-    /// A message came from an instance.
+    /// A message was received.
     Message {
-        /// Its sender.
+        /// The sender.
         from: Member,
-        /// Heartbeats, vouches, seals and view records are used; others ignored.
+        /// Heartbeats, vouches, seals and view records are handled, others ignored.
         body: peer::message::Body,
     },
-    /// Time passed; due each heartbeat period or oftener.
+    /// Time has passed. Due at least once per heartbeat interval.
     Tick {
-        /// Fresh random bits, for the choice of instances to tell.
+        /// Random bits, for the selection of gossip targets.
         entropy: u64,
     },
-    /// The store answered a read.
+    /// A view log was read from the store.
     StoreRead {
-        /// Whose record was read.
+        /// Failure domain of the log.
         domain: String,
-        /// The record; `None` where the store has none.
+        /// The log, or `None` if the store has none.
         log: Option<ViewLog>,
-        /// Store revision of its last change; 0 where there is none.
+        /// Store revision of the log's last change, or 0 if there is none.
         mod_revision: u64,
     },
-    /// The store answered, or failed to answer, a compare-and-swap.
+    /// A compare-and-swap has completed or timed out.
     StoreWrite(StoreWrite),
-    /// A read failed.
+    /// A read of a view log failed.
     StoreUnreachable {
-        /// Whose record was to be read.
+        /// Failure domain of the log.
         domain: String,
     },
-    /// The platform's list of instances, whole. Peers known from the settings
-    /// alone come first, in a list of their own, with incarnation 0.
+    /// The complete instance list of the platform. Peers from the settings are
+    /// passed before it, in a separate list with incarnation 0.
     PlatformList(Vec<ListedInstance>),
-    /// The process of this instance is not there: its host refused the connection.
+    /// The host of this instance refused a connection: its process does not run.
     ConnectionRefused(Member),
-    /// This instance is to stop: hand its keys over.
+    /// This instance has been told to stop and must hand over its keys.
     Leave,
-    /// Configuration in force here.
+    /// Revision of the configuration in force at this instance.
     ConfigRevision(u64),
-    /// Tasks here, for heartbeats.
+    /// Load of this instance, for heartbeats.
     Load {
-        /// Tasks waiting for a worker.
+        /// Number of tasks waiting for a worker.
         queued: u32,
-        /// Tasks sent to a worker.
+        /// Number of tasks at workers.
         running: u32,
     },
 }
 
-/// Something to do. Each `ReadStore` is answered by one `StoreRead` or
-/// `StoreUnreachable`, each `CompareAndSwap` by one `StoreWrite`, however late.
+/// Output of [`Membership`](super::Membership).
+///
+/// Each `ReadStore` must be answered by one [`Event::StoreRead`] or
+/// [`Event::StoreUnreachable`], and each `CompareAndSwap` by one
+/// [`Event::StoreWrite`].
 #[derive(Clone, Debug, PartialEq)]
 pub enum Command {
-    /// Send a message to an instance.
+    /// Send a message.
     Send {
-        /// The receiver.
+        /// The recipient.
         to: Member,
-        /// Its address, IP:PORT; empty where none is known.
+        /// Address of the recipient, IP:PORT; empty if unknown.
         address: String,
         /// The message.
         body: peer::message::Body,
     },
-    /// Read a failure domain's record.
+    /// Read the view log of a failure domain.
     ReadStore {
-        /// Whose record.
+        /// The failure domain.
         domain: String,
     },
-    /// Write this domain's record if its revision is still the expected one
-    /// (0: if there is none).
+    /// Write a view log if it still has the expected revision.
     CompareAndSwap {
-        /// Whose record: always this instance's own.
+        /// This instance's failure domain.
         domain: String,
-        /// The record to write.
+        /// The log to write.
         log: ViewLog,
-        /// Revision to compare with.
+        /// The expected revision, or 0 if the store must not have a log.
         expected_mod_revision: u64,
     },
-    /// The latest key time that this instance may admit now, Unix milliseconds.
+    /// Latest issue time of keys that this instance may admit, in Unix milliseconds.
     AdmissionLimit(u64),
-    /// Another view is in force, in this or another failure domain.
+    /// A newer view log has been adopted.
     ViewChanged {
         /// The failure domain.
         domain: String,
     },
-    /// The running instances of this failure domain, those about to stop among
-    /// them; sorted.
+    /// The running instances of this failure domain have changed. Sorted; includes
+    /// leaving instances.
     MembersChanged(Vec<Member>),
 }
 
-/// Where a submission belongs.
+/// The instance that handles submissions with a key.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Route {
-    /// This instance owns the key and may admit it now.
+    /// This instance owns the key and may admit it.
     Local,
-    /// That instance owns the key.
+    /// Another instance owns the key.
     Peer(Member),
-    /// The key's owner is lost; what it did with the key is unknown.
+    /// The owner of the key is lost. It may have started the key's tasks.
     OwnerLost,
-    /// Not known, or not allowed, yet.
+    /// The owner is not known yet, or may not admit the key yet.
     Unknown {
-        /// When to ask again, milliseconds from now.
+        /// Delay before a retry, in milliseconds.
         retry_after_ms: u64,
     },
 }
 
-/// State of an instance as seen here.
+/// State of another instance, as observed by this one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PeerState {
-    /// Heard lately, takes new work.
+    /// Running and taking new work.
     Serving,
-    /// Heard lately, about to stop.
+    /// Running, but about to stop.
     Leaving,
-    /// Not heard for `suspect_ms`.
+    /// No news for [`MembershipParams::suspect_ms`].
     Silent,
-    /// Its process is known to have ended.
+    /// The process is known to have ended.
     Gone,
 }
 
-/// An instance as known here.
+/// Status of another instance, as observed by this one.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct MemberStatus {
     /// The instance.
     pub member: Member,
-    /// Its failure domain.
+    /// Failure domain of the instance.
     pub domain: String,
-    /// Its state.
+    /// State of the instance.
     pub state: PeerState,
-    /// Configuration in force there.
+    /// Revision of the configuration in force at the instance.
     pub config_revision: u64,
-    /// Age of the newest news of it, milliseconds.
+    /// Age of the latest information about the instance, in milliseconds.
     pub heard_ms: u64,
-    /// Where peers dial it, IP:PORT.
+    /// Address that peers connect to, IP:PORT.
     pub address: String,
 }
--- a/crates/core/src/membership/vouching.rs
+++ b/crates/core/src/membership/vouching.rs
@@ -1,9 +1,10 @@
-//! Up to which key time this instance may admit, and what it promised others.
+//! The admission limit of this instance, and its promises to others.
 //!
-//! A member's limit rises only by vouches of a quorum of its view, itself
-//! included. Every vouch is remembered as a promise; a seal ends promises to a
-//! member for a view and all older ones. Enough seals leave the member no
-//! quorum, so the highest promise among them bounds all that it ever admits.
+//! An instance may admit keys issued up to its admission limit. A vouch is a promise
+//! that a member may raise its limit to a key time; the limit rises to a time that a
+//! quorum of the view, the member included, has vouched for. A seal is a promise not
+//! to vouch for a member in a view and all older ones. If enough members have sealed
+//! it to prevent a quorum, their latest vouch bounds the keys that it ever admits.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -12,54 +13,55 @@
 use super::types::Mutation;
 use crate::view::{Member, ViewLog};
 
-/// What a member said of the newest view that it took up.
+/// The newest view that a member has adopted.
 #[derive(Clone, Copy, Debug, Default)]
-pub(super) struct Adopted {
+pub(super) struct AdoptedView {
     pub version: u64,
-    /// It admits nothing later than this under an older view.
+    /// The member's admission limit when it adopted the view.
     pub older_limit_ms: u64,
 }
 
-/// An unbroken run of views that have this instance.
+/// A series of consecutive views that contain this instance.
 #[derive(Clone, Debug)]
-struct Run {
+struct MembershipPeriod {
     first_version: u64,
-    /// Its last view, as far as taken up.
+    /// The last view of the series among those adopted.
     last_version: u64,
-    /// Former owners that have not said yet that they took up the first view.
-    waiting: BTreeSet<Member>,
-    /// Former owners may have admitted keys up to this time.
-    floor_ms: u64,
+    /// Former owners that have not confirmed yet that they adopted the first view.
+    pending_owners: BTreeSet<Member>,
+    /// Latest issue time of keys that former owners may have admitted.
+    former_limit_ms: u64,
 }
 
-/// May this instance admit a key that it owns?
+/// Whether this instance may admit a key that it owns.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Admission {
     Allowed,
-    /// A former owner may have admitted it.
+    /// A former owner may have admitted the key.
     TooEarly,
-    /// Not before that much more key time is vouched for.
+    /// The key is this many milliseconds beyond the admission limit.
     Ahead(u64),
-    /// Former owners have to answer first.
+    /// Former owners have not confirmed the view yet.
     Waiting,
 }
 
-/// Limits and promises of one instance.
+/// Admission limit and promises of one instance.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Vouching {
     limit_ms: u64,
     older_limit_ms: u64,
     self_sealed_version: u64,
-    received: BTreeMap<Member, u64>,
-    given: BTreeMap<Member, u64>,
-    sealed: BTreeMap<Member, u64>,
-    adopted: BTreeMap<Member, Adopted>,
-    runs: Vec<Run>,
+    /// Vouches received for this instance in the newest view.
+    vouched_ms: BTreeMap<Member, u64>,
+    /// Latest vouch given to each member.
+    promised_ms: BTreeMap<Member, u64>,
+    sealed_versions: BTreeMap<Member, u64>,
+    adopted: BTreeMap<Member, AdoptedView>,
+    periods: Vec<MembershipPeriod>,
     mutation: Option<Mutation>,
 }
 
 impl Vouching {
-    /// Promises of an instance that has made none.
     pub fn new(mutation: Option<Mutation>) -> Self {
         Self {
             mutation,
@@ -67,55 +69,59 @@
         }
     }
 
-    /// The latest key time that may be admitted.
+    /// Latest issue time of keys that may be admitted.
     pub fn limit_ms(&self) -> u64 {
         self.limit_ms
     }
 
-    /// The limit when the newest view was taken up.
+    /// The limit when the newest view was adopted.
     pub fn older_limit_ms(&self) -> u64 {
         self.older_limit_ms
     }
 
-    /// The highest key time vouched to anyone, or admitted here.
+    /// Latest key time that this instance may admit or has vouched for.
     pub fn highest_ms(&self) -> u64 {
-        let given = self.given.values().copied().max();
-        given.unwrap_or(0).max(self.limit_ms)
+        let promised_ms = self.promised_ms.values().copied().max();
+        promised_ms.unwrap_or(0).max(self.limit_ms)
     }
 
-    /// Takes up a newer log.
+    /// Adopts a newer log.
     pub fn adopt(&mut self, me: &Member, log: &ViewLog) {
         self.older_limit_ms = self.limit_ms;
-        self.received.clear();
-        self.track_run(me, log);
+        self.vouched_ms.clear();
+        self.update_periods(me, log);
         let views = log.views();
-        let known = |member: &Member| views.iter().any(|view| view.has(member));
-        self.given.retain(|member, _| known(member));
-        self.sealed.retain(|member, _| known(member));
+        let known = |member: &Member| views.iter().any(|view| view.contains(member));
+        self.promised_ms.retain(|member, _| known(member));
+        self.sealed_versions.retain(|member, _| known(member));
         self.adopted.retain(|member, _| known(member));
     }
 
-    fn track_run(&mut self, me: &Member, log: &ViewLog) {
-        if let Some(run) = self.runs.last_mut() {
-            run.last_version = last_version(me, log, run);
+    fn update_periods(&mut self, me: &Member, log: &ViewLog) {
+        if let Some(period) = self.periods.last_mut() {
+            period.last_version = last_version(me, log, period);
         }
-        if let Some(first_version) = log.run_start(me) {
+        if let Some(first_version) = log.current_period_start(me) {
             let newest = log.version();
-            if self.runs.last().is_none_or(|run| run.last_version < newest) {
-                self.runs.push(new_run(me, log, first_version));
+            if self
+                .periods
+                .last()
+                .is_none_or(|period| period.last_version < newest)
+            {
+                self.periods.push(new_period(me, log, first_version));
             }
         }
-        if self.runs.len() > RUNS_MAX {
-            self.runs.remove(0);
+        if self.periods.len() > PERIODS_MAX {
+            self.periods.remove(0);
         }
-        for run in &mut self.runs {
-            settle_run(run, log, &self.adopted);
+        for period in &mut self.periods {
+            update_period(period, log, &self.adopted);
         }
     }
 
-    /// Raises the limit to what a quorum vouches for; says whether it rose.
-    pub fn extend(&mut self, me: &Member, log: &ViewLog, own_until_ms: u64) -> bool {
-        let Some(view) = log.newest().filter(|view| view.has(me)) else {
+    /// Raises the limit to the latest time vouched for by a quorum. Returns whether it rose.
+    pub fn raise_limit(&mut self, me: &Member, log: &ViewLog, own_until_ms: u64) -> bool {
+        let Some(view) = log.newest().filter(|view| view.contains(me)) else {
             return false;
         };
         if self.self_sealed_version >= view.version {
@@ -123,7 +129,7 @@
         }
         let others = view.members.iter().filter(|member| *member != me);
         let mut vouched: Vec<u64> = others
-            .filter_map(|member| self.received.get(member).copied())
+            .filter_map(|member| self.vouched_ms.get(member).copied())
             .collect();
         vouched.push(own_until_ms);
         vouched.sort_unstable_by(|a, b| b.cmp(a));
@@ -137,63 +143,63 @@
         rose
     }
 
-    /// Takes in a vouch for this instance in its newest view.
-    pub fn vouched(&mut self, from: &Member, until_ms: u64) {
-        let entry = self.received.entry(from.clone()).or_default();
+    /// Records a vouch received for this instance in the newest view.
+    pub fn record_vouch(&mut self, from: &Member, until_ms: u64) {
+        let entry = self.vouched_ms.entry(from.clone()).or_default();
         *entry = (*entry).max(until_ms);
     }
 
-    /// Vouches for `member` in `version` unless it is sealed there.
-    pub fn vouch(&mut self, member: &Member, version: u64, until_ms: u64) -> Option<u64> {
+    /// Vouches for `member` in view `version`. Returns `None` if it is sealed.
+    pub fn grant_vouch(&mut self, member: &Member, version: u64, until_ms: u64) -> Option<u64> {
         let sealed = self.sealed_version(member) >= version;
         if sealed && self.mutation != Some(Mutation::VouchAfterSeal) {
             return None;
         }
         if !sealed {
-            let promise = self.given.entry(member.clone()).or_default();
+            let promise = self.promised_ms.entry(member.clone()).or_default();
             *promise = (*promise).max(until_ms);
         }
         Some(until_ms)
     }
 
-    /// Notes what a member says of the view that it took up.
-    pub fn note_adopted(&mut self, from: &Member, heartbeat: &Heartbeat) {
-        let said = Adopted {
+    /// Records the view that a member has adopted.
+    pub fn record_adopted(&mut self, from: &Member, heartbeat: &Heartbeat) {
+        let reported = AdoptedView {
             version: heartbeat.view_version,
             older_limit_ms: heartbeat.older_limit_ms,
         };
-        if said.version == 0 {
+        if reported.version == 0 {
             return;
         }
         let known = self.adopted.entry(from.clone()).or_default();
-        if known.version < said.version {
-            *known = said;
+        if known.version < reported.version {
+            *known = reported;
         }
-        if let Some(run) = self.runs.last_mut() {
-            settle(run, from, said);
+        if let Some(period) = self.periods.last_mut() {
+            record_former_owner(period, from, reported);
         }
     }
 
-    /// What `member` last said.
-    pub fn adopted(&self, member: &Member) -> Adopted {
+    /// The newest view that `member` has adopted.
+    pub fn adopted(&self, member: &Member) -> AdoptedView {
         self.adopted.get(member).copied().unwrap_or_default()
     }
 
-    /// Ends promises to `member` in `version` and older ones.
+    /// Ends vouching for `member` in view `version` and older ones.
     pub fn seal(&mut self, member: &Member, version: u64) -> Seal {
-        let sealed = self.sealed.entry(member.clone()).or_default();
+        let sealed = self.sealed_versions.entry(member.clone()).or_default();
         *sealed = (*sealed).max(version);
         let adopted = self.adopted(member);
         Seal {
             view_version: version,
             member: Some(member.into()),
-            until_ms: self.given.get(member).copied().unwrap_or(0),
+            until_ms: self.promised_ms.get(member).copied().unwrap_or(0),
             adopted_version: adopted.version,
             older_limit_ms: adopted.older_limit_ms,
         }
     }
 
-    /// Ends this instance's own admissions beyond its limit, up to `version`.
+    /// Fixes this instance's own admission limit in view `version` and older ones.
     pub fn seal_self(&mut self, me: &Member, version: u64) -> Seal {
         self.self_sealed_version = self.self_sealed_version.max(version);
         Seal {
@@ -205,31 +211,41 @@
         }
     }
 
-    /// The newest view in which `member` is sealed here.
+    /// The newest view in which this instance has sealed `member`, or 0.
     pub fn sealed_version(&self, member: &Member) -> u64 {
-        self.sealed.get(member).copied().unwrap_or(0)
+        self.sealed_versions.get(member).copied().unwrap_or(0)
     }
 
-    /// The newest view in which this instance sealed itself.
+    /// The newest view in which this instance has sealed itself, or 0.
     pub fn self_sealed_version(&self) -> u64 {
         self.self_sealed_version
     }
 
-    /// First key time from which on this instance alone may have admitted the
-    /// keys that it owns; former owners may have admitted earlier ones.
-    pub fn alone_from_ms(&self) -> u64 {
-        let settled = self.runs.len() < RUNS_MAX && self.runs.iter().all(|r| r.waiting.is_empty());
-        let floor_ms = self.runs.iter().map(|run| run.floor_ms).max();
-        match floor_ms.filter(|_| settled) {
-            Some(floor_ms) => floor_ms + 1,
+    /// First key time from which no former owner may have admitted the keys that this
+    /// instance owns.
+    pub fn sole_owner_from_ms(&self) -> u64 {
+        let confirmed = self.periods.len() < PERIODS_MAX
+            && self
+                .periods
+                .iter()
+                .all(|period| period.pending_owners.is_empty());
+        let former_limit_ms = self
+            .periods
+            .iter()
+            .map(|period| period.former_limit_ms)
+            .max();
+        match former_limit_ms.filter(|_| confirmed) {
+            Some(former_limit_ms) => former_limit_ms + 1,
             None => u64::MAX,
         }
     }
 
-    /// Whether a key of `issued_ms`, owned here by the view `version`, may start.
+    /// Whether this instance may admit a key that it owns according to view `version`.
     pub fn admission(&self, version: u64, issued_ms: u64) -> Admission {
-        let covers = |run: &&Run| (run.first_version..=run.last_version).contains(&version);
-        let Some(run) = self.runs.iter().find(covers) else {
+        let covers = |period: &&MembershipPeriod| {
+            (period.first_version..=period.last_version).contains(&version)
+        };
+        let Some(period) = self.periods.iter().find(covers) else {
             return Admission::TooEarly;
         };
         if issued_ms > self.limit_ms {
@@ -238,31 +254,31 @@
         if self.mutation == Some(Mutation::NoJoinWait) {
             return Admission::Allowed;
         }
-        if !run.waiting.is_empty() {
+        if !period.pending_owners.is_empty() {
             return Admission::Waiting;
         }
-        match issued_ms <= run.floor_ms {
+        match issued_ms <= period.former_limit_ms {
             true => Admission::TooEarly,
             false => Admission::Allowed,
         }
     }
 }
 
-/// Runs remembered; an instance that joins anew more often in the window of
-/// keys refuses the keys of the oldest.
-const RUNS_MAX: usize = 16;
+/// Maximum number of periods kept. An instance that rejoins more often within the key
+/// window refuses keys of older periods.
+const PERIODS_MAX: usize = 16;
 
-/// Last of the views from the run's own on that have `me` without a break.
-fn last_version(me: &Member, log: &ViewLog, run: &Run) -> u64 {
-    let later = log.views().iter();
-    later
-        .filter(|view| view.version > run.last_version)
-        .take_while(|view| view.has(me))
+/// The last consecutive view after those of the period that contains `me`.
+fn last_version(me: &Member, log: &ViewLog, period: &MembershipPeriod) -> u64 {
+    let views = log.views().iter();
+    views
+        .filter(|view| view.version > period.last_version)
+        .take_while(|view| view.contains(me))
         .last()
-        .map_or(run.last_version, |view| view.version)
+        .map_or(period.last_version, |view| view.version)
 }
 
-fn new_run(me: &Member, log: &ViewLog, first_version: u64) -> Run {
+fn new_period(me: &Member, log: &ViewLog, first_version: u64) -> MembershipPeriod {
     let views = log.views();
     let find = |version| views.iter().find(|view| view.version == version);
     let first = find(first_version).into_iter();
@@ -270,41 +286,46 @@
     let owners = first
         .flat_map(|view| &view.members)
         .filter(|member| *member != me && first_version > 1)
-        .filter(|member| before.is_none_or(|view| view.has(member)));
-    Run {
+        .filter(|member| before.is_none_or(|view| view.contains(member)));
+    MembershipPeriod {
         first_version,
         last_version: log.version(),
-        waiting: owners.cloned().collect(),
-        floor_ms: 0,
+        pending_owners: owners.cloned().collect(),
+        former_limit_ms: 0,
     }
 }
 
-fn settle(run: &mut Run, member: &Member, said: Adopted) {
-    if said.version >= run.first_version && run.waiting.remove(member) {
-        run.floor_ms = run.floor_ms.max(said.older_limit_ms);
+/// Stops waiting for a former owner that has adopted the period's first view.
+fn record_former_owner(period: &mut MembershipPeriod, member: &Member, reported: AdoptedView) {
+    if reported.version >= period.first_version && period.pending_owners.remove(member) {
+        period.former_limit_ms = period.former_limit_ms.max(reported.older_limit_ms);
     }
 }
 
-/// Settles the run with all that is known: words of former owners, and views
-/// that dropped them.
-fn settle_run(run: &mut Run, log: &ViewLog, adopted: &BTreeMap<Member, Adopted>) {
-    for (member, said) in adopted {
-        settle(run, member, *said);
+/// Removes former owners that have confirmed the first view, or are not members of a
+/// later one, from the pending ones.
+fn update_period(
+    period: &mut MembershipPeriod,
+    log: &ViewLog,
+    adopted: &BTreeMap<Member, AdoptedView>,
+) {
+    for (member, reported) in adopted {
+        record_former_owner(period, member, *reported);
     }
     let later = log
         .views()
         .iter()
-        .filter(|view| view.version > run.first_version);
+        .filter(|view| view.version > period.first_version);
     for view in later {
-        let dropped: Vec<Member> = run
-            .waiting
+        let removed: Vec<Member> = period
+            .pending_owners
             .iter()
-            .filter(|m| !view.has(m))
+            .filter(|member| !view.contains(member))
             .cloned()
             .collect();
-        for member in dropped {
-            run.waiting.remove(&member);
-            run.floor_ms = run.floor_ms.max(view.from_ms.saturating_sub(1));
+        for member in removed {
+            period.pending_owners.remove(&member);
+            period.former_limit_ms = period.former_limit_ms.max(view.from_ms.saturating_sub(1));
         }
     }
 }
--- a/crates/core/src/view.rs
+++ b/crates/core/src/view.rs
@@ -155,7 +155,7 @@
 
     /// This log with one more view.
     #[must_use]
-    pub fn with(&self, from_ms: u64, members: Vec<Member>) -> Self {
+    pub fn with_view(&self, from_ms: u64, members: Vec<Member>) -> Self {
         let mut views = self.views.clone();
         views.push(View {
             version: self.version() + 1,
@@ -174,9 +174,9 @@
 
     /// First version of the unbroken run of views, up to the newest, that
     /// have `member`.
-    pub fn run_start(&self, member: &Member) -> Option<u64> {
+    pub fn current_period_start(&self, member: &Member) -> Option<u64> {
         let run = self.views.iter().rev();
-        run.take_while(|view| view.has(member))
+        run.take_while(|view| view.contains(member))
             .last()
             .map(|view| view.version)
     }
@@ -184,7 +184,7 @@
     /// Last issue time of the keys that the views with `member` cover; none
     /// while the newest view has it.
     pub fn covered_until_ms(&self, member: &Member) -> Option<u64> {
-        let last = self.views.iter().rposition(|view| view.has(member))?;
+        let last = self.views.iter().rposition(|view| view.contains(member))?;
         let next = self.views.get(last + 1)?;
         Some(next.from_ms.saturating_sub(1))
     }
@@ -207,7 +207,7 @@
         }
         if gone(holder) {
             path.push(holder.clone());
-            holder = self.newest()?.owner_but(key, holder)?;
+            holder = self.newest()?.owner_excluding(key, holder)?;
             stored = false;
         }
         let holder = holder.clone();
@@ -220,14 +220,14 @@
 
     fn first_without(&self, member: &Member, after_version: u64) -> Option<&View> {
         let mut later = self.views.iter();
-        later.find(|view| view.version > after_version && !view.has(member))
+        later.find(|view| view.version > after_version && !view.contains(member))
     }
 
     /// Members that answer for keys of `member` after it, by
     /// [`Self::succession`].
     pub fn successors(&self, member: &Member) -> Vec<Member> {
         let pairs = self.views.windows(2);
-        let removals = pairs.filter(|pair| pair[0].has(member) && !pair[1].has(member));
+        let removals = pairs.filter(|pair| pair[0].contains(member) && !pair[1].contains(member));
         let mut heirs: Vec<Member> = removals.flat_map(|pair| pair[1].members.clone()).collect();
         heirs.sort();
         heirs.dedup();
@@ -264,7 +264,7 @@
 
 impl View {
     /// Whether `member`, in that incarnation, belongs to the view.
-    pub fn has(&self, member: &Member) -> bool {
+    pub fn contains(&self, member: &Member) -> bool {
         self.members.contains(member)
     }
 
@@ -278,7 +278,7 @@
     }
 
     /// Members, the sealed one aside, whose seals leave it no quorum.
-    pub fn blocking(&self) -> usize {
+    pub fn blocking_quorum(&self) -> usize {
         self.members.len() - self.quorum() + 1
     }
 
@@ -293,7 +293,7 @@
     }
 
     /// The member that would own `key` were `without` no member.
-    fn owner_but(&self, key: &JobKey, without: &Member) -> Option<&Member> {
+    fn owner_excluding(&self, key: &JobKey, without: &Member) -> Option<&Member> {
         let hash = key.hash();
         let others = self.members.iter().filter(|member| *member != without);
         others.max_by_key(|member| rendezvous_weight(hash, &member.name))
--- a/crates/core/tests/handover.rs
+++ b/crates/core/tests/handover.rs
@@ -24,7 +24,7 @@
 fn log(views: &[&[&str]]) -> ViewLog {
     let mut log = ViewLog::default();
     for (number, names) in views.iter().enumerate() {
-        log = log.with(START_WALL_MS + 1_000 * number as u64, members(names));
+        log = log.with_view(START_WALL_MS + 1_000 * number as u64, members(names));
     }
     log
 }
@@ -99,8 +99,8 @@
     let views = log(&[&["a", "b"], &["b"], &["b", "c"]]);
     let next_from_ms = views.covering(u64::MAX).map(|newest| newest.from_ms);
     let until_ms = views.covered_until_ms(&member("a")).unwrap();
-    assert!(views.covering(until_ms).unwrap().has(&member("a")));
-    assert!(!views.covering(until_ms + 1).unwrap().has(&member("a")));
+    assert!(views.covering(until_ms).unwrap().contains(&member("a")));
+    assert!(!views.covering(until_ms + 1).unwrap().contains(&member("a")));
     assert!(Some(until_ms) < next_from_ms);
     assert_eq!(views.covered_until_ms(&member("b")), None);
     assert_eq!(views.covered_until_ms(&member("d")), None);
--- a/crates/core/tests/history.rs
+++ b/crates/core/tests/history.rs
@@ -113,7 +113,7 @@
 const BROKEN: [(Mutation, u64); 11] = [
     (Mutation::QuorumOfOne, 1),
     (Mutation::NoSeals, 1),
-    (Mutation::FromNow, 4),
+    (Mutation::ViewFromLocalClock, 4),
     (Mutation::VouchAfterSeal, 357),
     (Mutation::UnknownIsFailure, 24),
     (Mutation::UnknownIsDone, 18),
--- a/crates/core/tests/membership.rs
+++ b/crates/core/tests/membership.rs
@@ -140,8 +140,8 @@
     let key = JobKey::parse("1700000000500-x").expect("a valid key");
     assert!(matches!(entry.route(&key), Route::Unknown { .. }));
     let owner = Member::new("n0", 1);
-    let first = ViewLog::default().with(0, vec![owner.clone()]);
-    let next = first.with(1_700_000_001_000, vec![Member::new("n0", 2)]);
+    let first = ViewLog::default().with_view(0, vec![owner.clone()]);
+    let next = first.with_view(1_700_000_001_000, vec![Member::new("n0", 2)]);
     let from = Member::new("n1", 1);
     let mut tell = |log: &ViewLog, revision| {
         let body = Body::View(log.to_record(DOMAIN, revision));
@@ -271,7 +271,7 @@
         let stale = world.nodes[0].member.clone();
         let kept = vec![stale.clone(), world.nodes[2].member.clone()];
         let from_ms = world.wall_ms(2);
-        world.store.log = Some(log.with(from_ms, kept));
+        world.store.log = Some(log.with_view(from_ms, kept));
         world.store.revision += 1;
         // Only n2 reads it.
         let read = Event::StoreRead {
