--- a/src/peers/handover.rs
+++ b/src/peers/handover.rs
@@ -240,7 +240,7 @@
         let membership = self.membership();
         let known = membership.view_log(&self.domain);
         let newest = known.and_then(|known| known.log.newest());
-        newest.is_some_and(|view| !view.has(member))
+        newest.is_some_and(|view| !view.contains(member))
     }
 
     /// Takes an acknowledgement.
