--- a/crates/core/src/drain.rs
+++ b/crates/core/src/drain.rs
@@ -1,35 +1,35 @@
-//! A planned stop: announce, refuse, finish, under one absolute budget.
+//! Planned stop of an instance, with a time limit.
 //!
-//! The first request to stop starts the budget. While the stop is announced,
-//! readiness is false but new work is still taken, so that callers and peers
-//! that have not noticed yet lose nothing. Then new work is refused, and the
-//! stop ends when nothing is in flight or the budget is spent, whichever comes
-//! first. A second signal ends it at once.
+//! A stop first makes the instance not ready. It still accepts work for a while, so that
+//! requests of callers and peers that have not noticed the change yet do not fail.
+//! Then it refuses new work, and the stop ends when nothing is in flight or the time
+//! budget, counted from the first request to stop, is spent. A second signal ends it
+//! immediately.
 
 use derive_more::Display;
 use trefoil_schema::settings::DrainSettings;
 
 use crate::time::Now;
 
-/// Where a stop stands. Times are on the clock of [`Now::mono_ms`].
+/// Phase of a stop. Times are on the clock of [`Now::mono_ms`].
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq)]
 pub enum DrainState {
-    /// No stop was asked for.
+    /// No stop was requested.
     #[display("serving")]
     Serving,
-    /// Not ready, but new work is still taken.
+    /// The instance is not ready, but accepts new work.
     #[display("announcing")]
     Announcing {
-        /// When new work is refused.
+        /// Time from which new work is refused.
         until_ms: u64,
-        /// When the budget is spent.
-        ends_ms: u64,
+        /// End of the budget.
+        deadline_ms: u64,
     },
-    /// New work is refused; what is in flight goes on.
+    /// New work is refused; work in flight continues.
     #[display("refusing")]
     Refusing {
-        /// When the budget is spent.
-        ends_ms: u64,
+        /// End of the budget.
+        deadline_ms: u64,
     },
     /// The instance may exit.
     #[display("{_0}")]
@@ -39,13 +39,13 @@
 /// How a stop ended.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq)]
 pub enum DrainOutcome {
-    /// Nothing was in flight any more.
+    /// No work was in flight.
     #[display("drained")]
     Drained,
-    /// The budget was spent with work in flight.
+    /// The budget was spent while work was in flight.
     #[display("budget_spent")]
     BudgetSpent,
-    /// A second signal came.
+    /// A second signal was received.
     #[display("at_once")]
     AtOnce,
 }
@@ -55,32 +55,32 @@
 pub struct Drain {
     announce_ms: u64,
     budget_ms: u64,
-    ends_ms: Option<u64>,
+    deadline_ms: Option<u64>,
     state: DrainState,
 }
 
 impl Drain {
-    /// An instance that serves.
+    /// Creates the state of an instance that is not stopping.
     pub fn new(settings: &DrainSettings) -> Self {
         Self {
             announce_ms: settings.announce_ms.min(settings.budget_ms),
             budget_ms: settings.budget_ms,
-            ends_ms: None,
+            deadline_ms: None,
             state: DrainState::Serving,
         }
     }
 
-    /// Where the stop stands.
+    #[expect(missing_docs, reason = "a plain accessor")]
     pub fn state(&self) -> DrainState {
         self.state
     }
 
-    /// Whether the instance counts as ready.
+    /// Whether the instance reports itself as ready.
     pub fn is_ready(&self) -> bool {
         self.state == DrainState::Serving
     }
 
-    /// Whether new work is taken.
+    /// Whether new work is accepted.
     pub fn accepts_work(&self) -> bool {
         matches!(
             self.state,
@@ -88,18 +88,21 @@
         )
     }
 
-    /// An operator asks for the stop; asking again changes nothing.
+    /// Handles an operator's request to stop. Repeated requests have no effect.
     pub fn request(&mut self, now: Now) -> DrainState {
         if self.state == DrainState::Serving {
-            let ends_ms = now.mono_ms.saturating_add(self.budget_ms);
+            let deadline_ms = now.mono_ms.saturating_add(self.budget_ms);
             let until_ms = now.mono_ms.saturating_add(self.announce_ms);
-            self.ends_ms = Some(ends_ms);
-            self.state = DrainState::Announcing { until_ms, ends_ms };
+            self.deadline_ms = Some(deadline_ms);
+            self.state = DrainState::Announcing {
+                until_ms,
+                deadline_ms,
+            };
         }
         self.state
     }
 
-    /// A signal asks for the stop; a signal during a stop ends it at once.
+    /// Handles a signal: starts a stop, or ends a stop in progress immediately.
     pub fn signal(&mut self, now: Now) -> DrainState {
         match self.state {
             DrainState::Serving => self.request(now),
@@ -111,20 +114,23 @@
         }
     }
 
-    /// Time has passed, or `in_flight`, the jobs and requests not yet answered,
-    /// has changed.
+    /// Updates the phase after time has passed or `in_flight`, the number of unanswered
+    /// jobs and requests, has changed.
     ///
-    /// One call moves at most one phase on, so that `in_flight` can be counted
-    /// again once new work is refused.
+    /// Each call advances by at most one phase, so that the caller can count `in_flight`
+    /// again after new work is refused.
     pub fn step(&mut self, now: Now, in_flight: u64) -> DrainState {
         match self.state {
-            DrainState::Announcing { until_ms, ends_ms } if now.mono_ms >= until_ms => {
-                self.state = DrainState::Refusing { ends_ms };
+            DrainState::Announcing {
+                until_ms,
+                deadline_ms,
+            } if now.mono_ms >= until_ms => {
+                self.state = DrainState::Refusing { deadline_ms };
             }
             DrainState::Refusing { .. } if in_flight == 0 => {
                 self.state = DrainState::Finished(DrainOutcome::Drained);
             }
-            DrainState::Refusing { ends_ms } if now.mono_ms >= ends_ms => {
+            DrainState::Refusing { deadline_ms } if now.mono_ms >= deadline_ms => {
                 self.state = DrainState::Finished(DrainOutcome::BudgetSpent);
             }
             _ => {}
@@ -132,18 +138,17 @@
         self.state
     }
 
-    /// What is left of the budget, for closing connections and the like; zero
-    /// where no stop was asked for.
+    /// Remaining budget in milliseconds, or 0 if no stop was requested.
     pub fn budget_left_ms(&self, now: Now) -> u64 {
-        let ends_ms = self.ends_ms.unwrap_or_default();
-        ends_ms.saturating_sub(now.mono_ms)
+        let deadline_ms = self.deadline_ms.unwrap_or_default();
+        deadline_ms.saturating_sub(now.mono_ms)
     }
 
-    /// When [`Self::step`] is due even if nothing else happens.
+    /// Time at which [`Self::step`] is due even if `in_flight` does not change.
     pub fn next_step_ms(&self) -> Option<u64> {
         match self.state {
             DrainState::Announcing { until_ms, .. } => Some(until_ms),
-            DrainState::Refusing { ends_ms } => Some(ends_ms),
+            DrainState::Refusing { deadline_ms } => Some(deadline_ms),
             DrainState::Serving | DrainState::Finished(_) => None,
         }
     }
--- a/crates/core/src/handover.rs
+++ b/crates/core/src/handover.rs
@@ -1,14 +1,13 @@
-//! What a leaving instance's memory proves to those that take it over.
+//! Completeness of the job memory that a leaving instance hands over.
 //!
-//! An instance that leaves as planned hands each remembered key to the one that
-//! answers for it from then on (see [`crate::view::Succession`]), and at the
-//! end a scope: for keys of these issue times that came this way, this was all.
-//! A key within a scope that was not handed over never started, and never
-//! will: its owner refuses new keys before it hands its memory over, and a
-//! later owner begins behind the former one's admission limit. Scopes begin
-//! where the owner alone may have admitted its keys: earlier ones may have been
-//! admitted by former owners, before it joined. The reasons are
-//! in `docs/design/leaving.md`.
+//! An instance that leaves as planned sends each remembered key to the instance that
+//! answers for it afterwards (see [`crate::view::Succession`]), followed by scopes. A
+//! scope states that the keys issued in a period and handed over along a path are
+//! complete. A key in a scope that was not handed over has never started and never
+//! will: its owner refuses new keys before the handover, and later owners only admit
+//! keys beyond the former owner's admission limit. A scope does not include issue
+//! times at which former owners may have admitted the keys. See
+//! `docs/design/leaving.md`.
 
 use std::collections::BTreeMap;
 
@@ -17,30 +16,30 @@
 use crate::key::JobKey;
 use crate::view::{Member, Succession};
 
-/// Most scopes kept; beyond, those of the oldest keys are dropped.
+/// Maximum number of scopes kept. Those with the oldest keys are dropped first.
 const SCOPES_MAX: usize = 256;
 
-/// Keys of one way whose fate is fully known here.
+/// Issue times of the keys of a path that are completely known.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Scope {
-    /// First issue time covered, Unix milliseconds.
+    /// First issue time, in Unix milliseconds.
     pub from_ms: u64,
-    /// Last issue time covered, Unix milliseconds.
+    /// Last issue time, in Unix milliseconds.
     pub until_ms: u64,
-    /// Newest view known to those that handed over.
+    /// Newest view known to the instances of the path.
     pub view_version: u64,
 }
 
-/// What is known of a key that was not handed over.
+/// What is known about a key that was not handed over.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Absence {
-    /// No task under the key has started or will start.
+    /// No task of the key has started or will start.
     NeverStarted,
     /// Nothing is known.
     Unknown,
 }
 
-/// The scopes of all memory taken over, by the way that it came.
+/// The scopes received from leaving instances, by path.
 #[derive(Clone, Debug, Default)]
 pub struct Scopes {
     by_path: BTreeMap<Vec<Member>, Scope>,
@@ -48,7 +47,7 @@
 }
 
 impl Scopes {
-    /// Takes in the word that memory is complete.
+    /// Adds a received scope.
     pub fn insert(&mut self, message: &HandoverScope) {
         let path: Vec<Member> = message.path.iter().map(Member::from).collect();
         let scope = Scope {
@@ -71,28 +70,30 @@
         }
     }
 
-    /// Forgets scopes whose keys have all expired.
+    /// Removes scopes whose keys were all issued before `horizon_ms`.
     pub fn expire_before(&mut self, horizon_ms: u64) {
         self.by_path.retain(|_, scope| scope.until_ms >= horizon_ms);
     }
 
-    /// Ends taking over: this instance is about to hand on what it has.
+    /// Stops accepting handovers, because this instance is about to hand over itself.
     pub fn close(&mut self) {
         self.closed = true;
     }
 
-    /// Whether nothing more may be taken over.
+    /// Whether handovers are no longer accepted.
     pub fn is_closed(&self) -> bool {
         self.closed
     }
 
-    /// The scope of memory that came by `path`, if any did.
+    /// The scope received along `path`, if any.
     pub fn scope_of(&self, path: &[Member]) -> Option<Scope> {
         self.by_path.get(path).copied()
     }
 
-    /// What is known of a key that is not remembered here. `view_version` is
-    /// the newest view known here, by which `succession` was found.
+    /// What is known about a key that this instance does not remember.
+    ///
+    /// `view_version` is the version of the newest known view, from which `succession`
+    /// was derived.
     pub fn absence(&self, key: &JobKey, succession: &Succession, view_version: u64) -> Absence {
         let scope = self.by_path.get(&succession.path);
         let covers = scope.is_some_and(|scope| {
@@ -105,16 +106,16 @@
         }
     }
 
-    /// The scopes that `me` hands on when it leaves: those that it took over,
-    /// now one step longer, and that of its `own` keys. It remembers keys
-    /// issued from `remembered_ms` on.
+    /// The scopes that `me` sends when it leaves: the received ones, with `me` appended
+    /// to their paths, and that of its `own` keys. Keys issued before `remembered_ms`
+    /// are no longer remembered.
     pub fn outgoing_scopes(
         &self,
         me: &Member,
         own: Scope,
         remembered_ms: u64,
     ) -> Vec<HandoverScope> {
-        let taken = self.by_path.iter().map(|(path, scope)| {
+        let received = self.by_path.iter().map(|(path, scope)| {
             let mut path = path.clone();
             path.push(me.clone());
             let scope = Scope {
@@ -124,7 +125,7 @@
             };
             message(&path, scope)
         });
-        let mut scopes: Vec<HandoverScope> = taken.collect();
+        let mut scopes: Vec<HandoverScope> = received.collect();
         scopes.push(message(std::slice::from_ref(me), own));
         scopes
     }
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -1,19 +1,19 @@
-//! The decisions of trefoilbay.
+//! State machines of trefoilbay.
 //!
-//! Nothing here opens a socket, reads a clock, draws a random number or knows
-//! of tokio: an event and the current instant go in, commands come out. The
-//! same history therefore gives the same commands, which makes golden files of
-//! whole sessions exact and lets failure tests run in virtual time.
+//! This crate does no I/O, reads no clock, generates no random numbers and does not
+//! depend on an async runtime. Its state machines take events and the current time and
+//! return commands. They are deterministic, so tests can compare whole sessions with
+//! golden files and simulate failures in virtual time.
 //!
-//! * [`key`]: idempotency keys that carry their issue time.
-//! * [`verdict`]: whether a request may have run.
-//! * [`time`]: the instant handed to every decision.
-//! * [`view`]: which instance owns a key.
-//! * [`membership`]: who is live, and up to which key time this instance may admit.
+//! * [`key`]: idempotency keys with an issue time.
+//! * [`verdict`]: whether the tasks of a request may have run.
+//! * [`time`]: current time, as passed to the state machines.
+//! * [`view`]: views, which determine the owner of each key.
+//! * [`membership`]: membership of a failure domain, and permission to admit keys.
 //! * [`config`]: the declarations in force.
-//! * [`dispatch`]: dispatch onto fenced workers of the platform.
-//! * [`drain`]: a planned stop under one budget.
-//! * [`handover`]: what the memory of an instance that left proves.
+//! * [`dispatch`]: dispatch of jobs to workers protected by fencing tokens.
+//! * [`drain`]: planned stop of an instance, with a time limit.
+//! * [`handover`]: completeness of the job memory that a leaving instance hands over.
 //! * [`engine`]: jobs and tasks of one instance, from submission to answer.
 
 pub mod config;
--- a/crates/core/src/membership.rs
+++ b/crates/core/src/membership.rs
@@ -33,8 +33,8 @@
 
 /// The view log of a failure domain, as of a store revision.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
+#[expect(missing_docs, reason = "fields explain themselves")]
 pub struct StoredLog {
-    /// The view log.
     pub log: ViewLog,
     /// Store revision of the log's last change, or 0 if the store has no log.
     pub revision: u64,
--- a/crates/core/src/membership/types.rs
+++ b/crates/core/src/membership/types.rs
@@ -113,10 +113,9 @@
 
 /// An entry of the platform's instance list.
 #[derive(Clone, Debug, PartialEq, Eq)]
+#[expect(missing_docs, reason = "fields explain themselves")]
 pub struct ListedInstance {
-    /// Name and incarnation of the instance.
     pub member: Member,
-    /// Failure domain of the instance.
     pub domain: String,
     /// Address that peers connect to, IP:PORT.
     pub address: String,
@@ -260,12 +259,10 @@
 
 /// Status of another instance, as observed by this one.
 #[derive(Clone, Debug, PartialEq, Eq)]
+#[expect(missing_docs, reason = "fields explain themselves")]
 pub struct MemberStatus {
-    /// The instance.
     pub member: Member,
-    /// Failure domain of the instance.
     pub domain: String,
-    /// State of the instance.
     pub state: PeerState,
     /// Revision of the configuration in force at the instance.
     pub config_revision: u64,
--- a/crates/core/src/time.rs
+++ b/crates/core/src/time.rs
@@ -1,19 +1,19 @@
-//! The instant handed to every decision.
+//! Current time, as passed to the state machines.
 
-/// The current instant, read once by the caller.
+/// The current time of a monotonic and a wall clock.
 ///
-/// `mono_ms` never goes backwards and measures waits; `wall_ms` is Unix time
-/// and is compared only with the issue times of keys.
+/// Durations are measured with `mono_ms`; `wall_ms` is compared only with issue times
+/// of keys.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Now {
-    /// Milliseconds of a monotonic clock, from an arbitrary start.
+    /// Monotonic time in milliseconds, with an arbitrary origin.
     pub mono_ms: u64,
-    /// Milliseconds of Unix time.
+    /// Unix time in milliseconds.
     pub wall_ms: u64,
 }
 
 impl Now {
-    /// This instant `ms` milliseconds later on both clocks.
+    /// Returns the time `ms` milliseconds later, on both clocks.
     #[must_use]
     pub fn plus_ms(self, ms: u64) -> Self {
         Self {
--- a/crates/core/src/verdict.rs
+++ b/crates/core/src/verdict.rs
@@ -1,20 +1,19 @@
-//! Whether a request may have run.
+//! Whether the tasks of a request may have run.
 
 use derive_more::Display;
 
-/// What is known about the tasks behind a request, for the caller to act on.
+/// Whether the tasks of a request may have run, as reported to the caller.
 ///
-/// The order is that of harm: combining what is known of several tasks takes
-/// the maximum.
+/// The variants are ordered so that the verdict on several tasks is their maximum.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Verdict {
-    /// No task started, and none will start because of this request.
+    /// No task has started, and this request will start none.
     #[display("not_run")]
     NotRun,
-    /// Some task may have started; what it did is unknown.
+    /// A task may have started; its outcome is unknown.
     #[display("may_have_run")]
     MayHaveRun,
-    /// The tasks ran and their outcome is known.
+    /// The tasks ran, and their outcome is known.
     #[display("ran")]
     Ran,
 }
--- a/crates/core/src/view.rs
+++ b/crates/core/src/view.rs
@@ -1,18 +1,16 @@
-//! Which instance owns a key.
+//! Views, which determine the owner of each key.
 //!
-//! A failure domain's record in the platform's store is a list of views, each
-//! with the first key time it covers and its members. A key belongs to the
-//! newest view whose `from_ms` is not after the key's issue time, and within
-//! that view to one member by rendezvous hashing. Only that member, in that
+//! The view log of a failure domain, kept in the platform's store, is a list of views,
+//! each with its members and the first key time that it covers. A key belongs to the
+//! newest view whose `from_ms` is not after the key's issue time, and is owned by the
+//! member of that view that rendezvous hashing selects. Only that member, in that
 //! incarnation, ever starts the key's tasks.
 //!
-//! Because both the old and the new owner compare the key's own issue time
-//! with the same stored number, no two owners can both start a key, whatever
-//! their clocks say and however long either was paused.
+//! Old and new owners compare the issue time in the key with the same stored `from_ms`,
+//! so clock differences and pauses cannot make two owners start the same key.
 //!
-//! The record changes only by compare-and-swap. Before a view with `from_ms`
-//! is stored, the members of the view before it must be unable to admit keys
-//! issued at `from_ms` or later.
+//! The log is changed only by compare-and-swap. Before a view is written, the members
+//! of the previous one must be unable to admit keys issued at its `from_ms` or later.
 
 use derive_more::{Display, Error};
 use serde::{Deserialize, Serialize};
@@ -20,24 +18,24 @@
 
 use crate::key::{JobKey, rendezvous_weight};
 
-/// An instance and the number of its start.
+/// An incarnation of an instance.
 #[derive(Clone, Debug, Display, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 #[display("{name}#{incarnation}")]
 pub struct Member {
     /// Configured name of the instance.
     pub name: String,
-    /// Number of its start; a restarted process has a larger one.
+    /// Incarnation number; increases with each restart.
     pub incarnation: u64,
 }
 
-/// The members that own keys from one key time on.
+/// The members that own the keys issued from a time on.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct View {
-    /// Position in the failure domain's history, from 1.
+    /// Sequence number in the failure domain, starting at 1.
     pub version: u64,
-    /// First key time that it covers, Unix milliseconds.
+    /// Earliest issue time of the keys that it covers, in Unix milliseconds.
     pub from_ms: u64,
-    /// Its members.
+    /// The members, with distinct names.
     pub members: Vec<Member>,
 }
 
@@ -48,12 +46,12 @@
 }
 
 impl ViewLog {
-    /// A log of `views`, oldest first.
+    /// Creates a log of `views`, oldest first. See [`Self::check`] for the rules.
     pub fn new(views: Vec<View>) -> Self {
         Self { views }
     }
 
-    /// All views kept, oldest first.
+    /// The views that the log still has, oldest first.
     pub fn views(&self) -> &[View] {
         &self.views
     }
@@ -63,7 +61,7 @@
         self.views.last()
     }
 
-    /// The view that covers a key time.
+    /// The view that covers keys issued at a time.
     pub fn covering(&self, issued_ms: u64) -> Option<&View> {
         self.views
             .iter()
@@ -77,33 +75,33 @@
     }
 }
 
-/// Who answers for a key whose owner is gone.
+/// The instance that answers for a key whose owner is gone.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Succession {
-    /// The key's owner, then those that answered for it since, all gone.
+    /// The key's owner and the later holders of its memory, all of them gone.
     pub path: Vec<Member>,
-    /// Who answers for it now; it never starts it.
+    /// The current holder, which answers for the key but never starts it.
     pub holder: Member,
-    /// Whether each step was made by a stored view.
+    /// Whether a stored view has removed each instance of the path.
     pub stored: bool,
 }
 
-/// A message or record that breaks a rule of view logs.
+/// An invalid view log.
 #[derive(Clone, Copy, Debug, Display, Error, PartialEq, Eq)]
 pub enum ViewError {
-    /// A view names no members.
+    /// A view has no members.
     #[display("a view has no members")]
     NoMembers,
     /// Two members of a view share a name.
     #[display("a view lists one name twice")]
     RepeatedName,
-    /// Versions do not rise by one, or key times go back.
+    /// Versions are not consecutive, or `from_ms` decreases.
     #[display("views are out of order")]
     OutOfOrder,
 }
 
 impl Member {
-    /// A member of that name and incarnation.
+    #[expect(missing_docs, reason = "a plain constructor")]
     pub fn new(name: &str, incarnation: u64) -> Self {
         Self {
             name: name.to_owned(),
@@ -148,12 +146,12 @@
 }
 
 impl ViewLog {
-    /// The version of the newest view; 0 before the first.
+    /// Version of the newest view, or 0 if there is none.
     pub fn version(&self) -> u64 {
         self.newest().map_or(0, |view| view.version)
     }
 
-    /// This log with one more view.
+    /// Returns this log with a view appended.
     #[must_use]
     pub fn with_view(&self, from_ms: u64, members: Vec<Member>) -> Self {
         let mut views = self.views.clone();
@@ -165,36 +163,37 @@
         Self { views }
     }
 
-    /// This log without its views older than `version`.
+    /// Returns this log without the views older than `version`.
     #[must_use]
     pub fn without_before(&self, version: u64) -> Self {
         let kept = self.views.iter().filter(|view| view.version >= version);
         Self::new(kept.cloned().collect())
     }
 
-    /// First version of the unbroken run of views, up to the newest, that
-    /// have `member`.
+    /// First version of the consecutive views, up to the newest, that contain `member`.
     pub fn current_period_start(&self, member: &Member) -> Option<u64> {
-        let run = self.views.iter().rev();
-        run.take_while(|view| view.contains(member))
+        let newest_first = self.views.iter().rev();
+        newest_first
+            .take_while(|view| view.contains(member))
             .last()
             .map(|view| view.version)
     }
 
-    /// Last issue time of the keys that the views with `member` cover; none
-    /// while the newest view has it.
+    /// Latest issue time of the keys covered by views with `member`, or `None` if the
+    /// newest view contains it.
     pub fn covered_until_ms(&self, member: &Member) -> Option<u64> {
         let last = self.views.iter().rposition(|view| view.contains(member))?;
         let next = self.views.get(last + 1)?;
         Some(next.from_ms.saturating_sub(1))
     }
 
-    /// Who answers for a key after its owner, and others after that, left.
+    /// The instance that answers for a key after its owner, and possibly later holders,
+    /// have left. Returns `None` while the owner is present.
     ///
-    /// After each of them it is the rendezvous member of the first view
-    /// without it: later changes of members do not move the memory again. One
-    /// that is `gone` while the newest view still has it is followed by the
-    /// rendezvous member of the others. `None` while the owner stays.
+    /// The successor of an instance is the rendezvous member of the first view without
+    /// it, so that later changes of the members do not move the memory again. If an
+    /// instance is `gone` but still in the newest view, its successor is the rendezvous
+    /// member among the others.
     pub fn succession(&self, key: &JobKey, gone: impl Fn(&Member) -> bool) -> Option<Succession> {
         let mut view = self.covering(key.issued_ms())?;
         let mut holder = view.owner(key)?;
@@ -223,18 +222,19 @@
         later.find(|view| view.version > after_version && !view.contains(member))
     }
 
-    /// Members that answer for keys of `member` after it, by
-    /// [`Self::succession`].
+    /// Members that answer for keys of `member` according to [`Self::succession`].
     pub fn successors(&self, member: &Member) -> Vec<Member> {
         let pairs = self.views.windows(2);
         let removals = pairs.filter(|pair| pair[0].contains(member) && !pair[1].contains(member));
-        let mut heirs: Vec<Member> = removals.flat_map(|pair| pair[1].members.clone()).collect();
-        heirs.sort();
-        heirs.dedup();
-        heirs
+        let mut successors: Vec<Member> =
+            removals.flat_map(|pair| pair[1].members.clone()).collect();
+        successors.sort();
+        successors.dedup();
+        successors
     }
 
-    /// Checks the rules that every stored log obeys.
+    /// Checks that views have members with distinct names, consecutive versions, and
+    /// `from_ms` in ascending order.
     pub fn check(&self) -> Result<(), ViewError> {
         for view in &self.views {
             view.check()?;
@@ -245,14 +245,14 @@
         ordered.then_some(()).ok_or(ViewError::OutOfOrder)
     }
 
-    /// The log of a message.
+    /// Converts and checks a log received in a message.
     pub fn from_record(record: &peer::ViewRecord) -> Result<Self, ViewError> {
         let log = Self::new(record.views.iter().map(Into::into).collect());
         log.check()?;
         Ok(log)
     }
 
-    /// A message with this log, as of store revision `revision`.
+    /// Converts the log to a message. `revision` is the store revision of its last change.
     pub fn to_record(&self, domain: &str, revision: u64) -> peer::ViewRecord {
         peer::ViewRecord {
             domain: domain.to_owned(),
@@ -263,12 +263,12 @@
 }
 
 impl View {
-    /// Whether `member`, in that incarnation, belongs to the view.
+    /// Whether this incarnation is a member.
     pub fn contains(&self, member: &Member) -> bool {
         self.members.contains(member)
     }
 
-    /// Members that must vouch, the asker included, before it may admit.
+    /// Number of members, including the requester, that must vouch for an admission limit.
     pub fn quorum(&self) -> usize {
         match self.members.len() {
             count @ 0..=2 => count,
@@ -277,7 +277,7 @@
         }
     }
 
-    /// Members, the sealed one aside, whose seals leave it no quorum.
+    /// Number of other members whose seals prevent a quorum for the sealed one.
     pub fn blocking_quorum(&self) -> usize {
         self.members.len() - self.quorum() + 1
     }
@@ -292,10 +292,10 @@
         (!repeated).then_some(()).ok_or(ViewError::RepeatedName)
     }
 
-    /// The member that would own `key` were `without` no member.
-    fn owner_excluding(&self, key: &JobKey, without: &Member) -> Option<&Member> {
+    /// The member that would own `key` if `excluded` were not a member.
+    fn owner_excluding(&self, key: &JobKey, excluded: &Member) -> Option<&Member> {
         let hash = key.hash();
-        let others = self.members.iter().filter(|member| *member != without);
+        let others = self.members.iter().filter(|member| *member != excluded);
         others.max_by_key(|member| rendezvous_weight(hash, &member.name))
     }
 
