--- a/crates/core/tests/drain.rs
+++ b/crates/core/tests/drain.rs
@@ -1,4 +1,4 @@
-//! The phases of a planned stop, in virtual time.
+//! Phases of a planned stop, in virtual time.
 
 use trefoil_core::drain::{Drain, DrainOutcome, DrainState};
 use trefoil_core::time::Now;
@@ -23,7 +23,7 @@
 }
 
 #[test]
-fn serves_until_told_to_stop() {
+fn serves_until_a_stop_is_requested() {
     let mut drain = drain();
     assert_eq!(drain.step(at(1_000_000), 0), DrainState::Serving);
     assert!(drain.is_ready() && drain.accepts_work());
@@ -38,7 +38,7 @@
     drain.step(at(ANNOUNCE_MS - 1), 0);
     assert!(
         drain.accepts_work(),
-        "idle, but others may not have noticed yet"
+        "work must be accepted while the stop is announced"
     );
     drain.step(at(ANNOUNCE_MS), 1);
     assert!(!drain.accepts_work());
@@ -70,7 +70,7 @@
 }
 
 #[test]
-fn signal_ends_a_stop_in_any_phase() {
+fn second_signal_ends_a_stop_in_any_phase() {
     for (steps_ms, requested) in [(0, false), (ANNOUNCE_MS, false), (ANNOUNCE_MS, true)] {
         let mut drain = drain();
         match requested {
@@ -84,7 +84,7 @@
 }
 
 #[test]
-fn work_taken_while_announcing_is_counted_again() {
+fn in_flight_is_counted_again_after_new_work_is_refused() {
     let mut drain = drain();
     drain.signal(at(0));
     let first = drain.step(at(ANNOUNCE_MS), 0);
@@ -94,7 +94,7 @@
 }
 
 #[test]
-fn idle_instance_drains_even_when_the_budget_is_spent() {
+fn idle_instance_is_drained_even_if_the_budget_is_spent() {
     let mut drain = drain();
     drain.signal(at(0));
     drain.step(at(BUDGET_MS), 0);
@@ -103,7 +103,7 @@
 }
 
 #[test]
-fn budget_left_is_that_of_the_whole_stop() {
+fn remaining_budget_covers_the_whole_stop() {
     let mut drain = drain();
     assert_eq!(drain.budget_left_ms(at(0)), 0);
     drain.signal(at(0));
@@ -115,7 +115,7 @@
 }
 
 #[test]
-fn ending_is_final() {
+fn outcome_is_final() {
     let mut drain = drain();
     drain.signal(at(0));
     drain.step(at(ANNOUNCE_MS), 0);
@@ -127,7 +127,7 @@
 }
 
 #[test]
-fn announcement_never_outlasts_the_budget() {
+fn announcement_does_not_exceed_the_budget() {
     let mut drain = Drain::new(&DrainSettings {
         announce_ms: 500,
         budget_ms: 100,
@@ -139,11 +139,11 @@
 }
 
 #[test]
-fn any_history_is_within_the_budget_and_in_order() {
+fn phases_are_in_order_and_within_the_budget() {
     arbtest::arbtest(|u| {
         let mut drain = drain();
         let mut now_ms = 0;
-        let mut asked_ms = None;
+        let mut requested_ms = None;
         let mut rank = 0;
         for _ in 0..u.int_in_range(1..=40)? {
             now_ms += u.int_in_range(0..=300)?;
@@ -153,14 +153,14 @@
                 _ => drop(drain.step(at(now_ms), u.int_in_range(0..=2)?)),
             }
             if !drain.is_ready() {
-                asked_ms.get_or_insert(now_ms);
+                requested_ms.get_or_insert(now_ms);
             }
             let next = phase(drain.state());
-            assert!(next >= rank, "a stop never goes back");
+            assert!(next >= rank, "a stop must not return to an earlier phase");
             rank = next;
         }
-        if let Some(asked_ms) = asked_ms {
-            let end = at(now_ms.max(asked_ms + BUDGET_MS));
+        if let Some(requested_ms) = requested_ms {
+            let end = at(now_ms.max(requested_ms + BUDGET_MS));
             drain.step(end, 1);
             let last = drain.step(end, 1);
             assert!(matches!(last, DrainState::Finished(_)));
--- a/crates/core/tests/handover.rs
+++ b/crates/core/tests/handover.rs
@@ -1,4 +1,4 @@
-//! Memory that leavers hand over: who gets it, what it proves, how it is kept.
+//! Handover of job memory: successors, scopes, and the memory's limits.
 
 mod engine_support;
 
@@ -20,7 +20,7 @@
     names.iter().map(|name| member(name)).collect()
 }
 
-/// Views of `views`, each beginning a second after the one before.
+/// Creates a log of views with these members, which start one second apart.
 fn log(views: &[&[&str]]) -> ViewLog {
     let mut log = ViewLog::default();
     for (number, names) in views.iter().enumerate() {
@@ -29,39 +29,39 @@
     log
 }
 
-/// Keys of the first view that `owner` owns there.
-fn keys_of(log: &ViewLog, owner: &str) -> Vec<JobKey> {
+/// Keys that `owner` owns in the first view.
+fn keys_owned_by(log: &ViewLog, owner: &str) -> Vec<JobKey> {
     let keys = (0..400).map(|number| JobKey::parse(&format!("{START_WALL_MS}-{number}")).unwrap());
     let owned = |key: &JobKey| *log.owner(key).unwrap() == member(owner);
     keys.filter(owned).collect()
 }
 
-fn stays(_: &Member) -> bool {
+fn never_gone(_: &Member) -> bool {
     false
 }
 
 #[test]
-fn memory_stays_where_the_first_view_without_the_owner_puts_it() {
+fn the_successor_is_a_member_of_the_first_view_without_the_owner() {
     let left = log(&[&["a", "b", "c"], &["b", "c"]]);
     let joined = log(&[&["a", "b", "c"], &["b", "c"], &["b", "c", "d"]]);
-    for key in keys_of(&left, "a") {
-        let holder = left.succession(&key, stays).unwrap().holder;
-        let later = joined.succession(&key, stays).unwrap();
+    for key in keys_owned_by(&left, "a") {
+        let holder = left.succession(&key, never_gone).unwrap().holder;
+        let later = joined.succession(&key, never_gone).unwrap();
         assert_eq!((later.holder, later.path), (holder, members(&["a"])));
         assert!(later.stored);
     }
-    for key in keys_of(&joined, "b") {
-        assert_eq!(joined.succession(&key, stays), None);
+    for key in keys_owned_by(&joined, "b") {
+        assert_eq!(joined.succession(&key, never_gone), None);
     }
     assert_eq!(joined.successors(&member("a")), members(&["b", "c"]));
 }
 
 #[test]
-fn memory_moves_on_with_each_holder_that_leaves() {
+fn memory_moves_whenever_its_holder_leaves() {
     let views = log(&[&["a", "b", "c"], &["b", "c"], &["b", "c", "d"], &["c", "d"]]);
     let mut through_b = 0;
-    for key in keys_of(&views, "a") {
-        let succession = views.succession(&key, stays).unwrap();
+    for key in keys_owned_by(&views, "a") {
+        let succession = views.succession(&key, never_gone).unwrap();
         match succession.path.len() {
             1 => assert_eq!(succession.holder, member("c")),
             _ => {
@@ -75,9 +75,9 @@
 }
 
 #[test]
-fn a_holder_gone_before_a_view_says_so_is_followed_without_proof() {
+fn scopes_do_not_apply_if_the_owner_is_still_in_the_newest_view() {
     let views = log(&[&["a", "b", "c"]]);
-    for key in keys_of(&views, "a") {
+    for key in keys_owned_by(&views, "a") {
         let succession = views.succession(&key, |m| *m == member("a")).unwrap();
         assert!(!succession.stored);
         assert_ne!(succession.holder, member("a"));
@@ -87,15 +87,15 @@
             until_ms: u64::MAX,
             view_version: 1,
         };
-        take_over(&mut scopes, &Scopes::default(), "a", scope);
+        insert_outgoing(&mut scopes, &Scopes::default(), "a", scope);
         assert_eq!(scopes.absence(&key, &succession, 1), Absence::Unknown);
     }
 }
 
 #[test]
-fn a_leavers_scope_reaches_to_the_first_view_without_it() {
-    // Seen in the rolling restart beside a load of 58: a key issued 4 ms beyond
-    // the leaver's limit, before the next view, was answered as lost.
+fn the_scope_of_a_leaving_instance_extends_to_the_first_view_without_it() {
+    // Otherwise keys issued between the admission limit and the next view would be
+    // reported as lost.
     let views = log(&[&["a", "b"], &["b"], &["b", "c"]]);
     let next_from_ms = views.covering(u64::MAX).map(|newest| newest.from_ms);
     let until_ms = views.covered_until_ms(&member("a")).unwrap();
@@ -106,25 +106,25 @@
     assert_eq!(views.covered_until_ms(&member("d")), None);
 }
 
-/// `scopes` takes over what `from` hands on.
-fn take_over(scopes: &mut Scopes, from: &Scopes, name: &str, own: Scope) {
+/// Inserts the outgoing scopes of `from` into `scopes`.
+fn insert_outgoing(scopes: &mut Scopes, from: &Scopes, name: &str, own: Scope) {
     let handed = from.outgoing_scopes(&member(name), own, START_WALL_MS - 500);
     handed.iter().for_each(|scope| scopes.insert(scope));
 }
 
 #[test]
-fn a_scope_proves_only_its_way_its_times_and_its_views() {
+fn a_scope_applies_only_to_its_path_issue_times_and_views() {
     let views = log(&[&["a", "b"], &["b"]]);
-    let of_a = keys_of(&views, "a");
-    let succession = views.succession(&of_a[0], stays).unwrap();
+    let of_a = keys_owned_by(&views, "a");
+    let succession = views.succession(&of_a[0], never_gone).unwrap();
     let scope = Scope {
         from_ms: START_WALL_MS,
         until_ms: START_WALL_MS,
         view_version: 2,
     };
-    let absence = |way: &str, scope: Scope, version: u64| {
+    let absence = |sender: &str, scope: Scope, version: u64| {
         let mut scopes = Scopes::default();
-        take_over(&mut scopes, &Scopes::default(), way, scope);
+        insert_outgoing(&mut scopes, &Scopes::default(), sender, scope);
         scopes.absence(&of_a[0], &succession, version)
     };
     let later = Scope {
@@ -144,7 +144,7 @@
 }
 
 #[test]
-fn a_scope_handed_on_counts_for_the_longer_way_only() {
+fn a_forwarded_scope_applies_only_to_the_longer_path() {
     let views = log(&[&["a", "b", "c"], &["b", "c"], &["c"]]);
     let scope = Scope {
         from_ms: 0,
@@ -152,8 +152,8 @@
         view_version: 2,
     };
     let (mut at_b, mut at_c) = (Scopes::default(), Scopes::default());
-    take_over(&mut at_b, &Scopes::default(), "a", scope);
-    take_over(
+    insert_outgoing(&mut at_b, &Scopes::default(), "a", scope);
+    insert_outgoing(
         &mut at_c,
         &at_b,
         "b",
@@ -162,25 +162,27 @@
             ..scope
         },
     );
-    for key in keys_of(&views, "a") {
-        let succession = views.succession(&key, stays).unwrap();
+    for key in keys_owned_by(&views, "a") {
+        let succession = views.succession(&key, never_gone).unwrap();
         let expected = match succession.path.len() {
-            // Handed to c by a itself, which did not take place here.
+            // These keys would come from a directly, which sent no scope to c.
             1 => Absence::Unknown,
             _ => Absence::NeverStarted,
         };
         assert_eq!(at_c.absence(&key, &succession, 3), expected);
     }
     at_c.expire_before(START_WALL_MS + 9_001);
-    let succession = views.succession(&keys_of(&views, "a")[0], stays).unwrap();
+    let succession = views
+        .succession(&keys_owned_by(&views, "a")[0], never_gone)
+        .unwrap();
     assert_eq!(
-        at_c.absence(&keys_of(&views, "a")[0], &succession, 3),
+        at_c.absence(&keys_owned_by(&views, "a")[0], &succession, 3),
         Absence::Unknown
     );
 }
 
 #[test]
-fn a_successor_never_takes_itself_for_gone() {
+fn a_successor_does_not_consider_itself_gone() {
     let views = log(&[&["a", "b"], &["b"]]);
     let domains = ["d".to_owned()];
     let params = MembershipParams::default();
@@ -191,14 +193,14 @@
         log: Some(views.clone()),
         mod_revision: 1,
     };
-    let mut tell = |mono_ms, event| {
+    let mut handle = |mono_ms, event| {
         let now = Now {
             mono_ms,
             wall_ms: START_WALL_MS + mono_ms,
         };
         membership.handle(now, event, &mut Vec::new());
     };
-    tell(0, read);
+    handle(0, read);
     for mono_ms in [0, lag_ms, 2 * lag_ms] {
         let own = ListedInstance {
             member: member("b"),
@@ -206,16 +208,16 @@
             address: String::new(),
             leaving: false,
         };
-        tell(mono_ms, Event::PlatformList(vec![own]));
+        handle(mono_ms, Event::PlatformList(vec![own]));
     }
-    for key in keys_of(&views, "a") {
+    for key in keys_owned_by(&views, "a") {
         let (succession, version) = membership.succession(&key).unwrap();
         assert_eq!(succession.path, members(&["a"]));
         assert_eq!((succession.holder, version), (member("b"), 2));
     }
 }
 
-fn absent() -> Refusal {
+fn owner_left() -> Refusal {
     Refusal {
         reason: RefusalReason::OwnerLeft,
         detail: String::new(),
@@ -224,39 +226,39 @@
     }
 }
 
-fn recall(bench: &mut EngineHarness, key: &JobKey, fingerprint: Option<u64>) {
-    bench.call(|engine, now, out| {
-        engine.answer_without_admission(now, key, fingerprint, absent(), WaiterId(99), out);
+fn recall(harness: &mut EngineHarness, key: &JobKey, fingerprint: Option<u64>) {
+    harness.call(|engine, now, out| {
+        engine.answer_without_admission(now, key, fingerprint, owner_left(), WaiterId(99), out);
     });
 }
 
-/// A bench that has left, with `count` complete jobs.
-fn leaver(count: usize) -> EngineHarness {
-    let mut bench = EngineHarness::new(EngineSettings::default(), 2, 2);
+/// Creates a leaving engine with `count` completed jobs.
+fn leaving_engine(count: usize) -> EngineHarness {
+    let mut harness = EngineHarness::new(EngineSettings::default(), 2, 2);
     for number in 0..count {
-        bench.submit(submission(&key(0, &number.to_string()), 2, 1_000), false);
-        bench.finish_all();
+        harness.submit(submission(&key(0, &number.to_string()), 2, 1_000), false);
+        harness.finish_all();
     }
-    bench.answers.clear();
-    bench.engine.set_leaving(true);
-    bench
+    harness.answers.clear();
+    harness.engine.set_leaving(true);
+    harness
 }
 
 #[test]
-fn memory_is_read_only_once_new_keys_are_refused_and_nothing_runs() {
-    let mut bench = EngineHarness::new(EngineSettings::default(), 1, 1);
+fn memory_is_available_only_if_new_keys_are_refused_and_no_job_runs() {
+    let mut harness = EngineHarness::new(EngineSettings::default(), 1, 1);
     assert!(
-        bench.engine.remembered_jobs(bench.now).is_none(),
-        "takes new keys"
+        harness.engine.remembered_jobs(harness.now).is_none(),
+        "new keys are accepted"
     );
-    bench.submit(submission(&key(0, "one"), 1, 1_000), true);
-    bench.engine.set_leaving(true);
+    harness.submit(submission(&key(0, "one"), 1, 1_000), true);
+    harness.engine.set_leaving(true);
     assert!(
-        bench.engine.remembered_jobs(bench.now).is_none(),
-        "a job runs"
+        harness.engine.remembered_jobs(harness.now).is_none(),
+        "a job is running"
     );
-    bench.finish_all();
-    let memory = bench.engine.remembered_jobs(bench.now).unwrap();
+    harness.finish_all();
+    let memory = harness.engine.remembered_jobs(harness.now).unwrap();
     assert_eq!(memory.jobs.len(), 1);
     assert_eq!(
         memory.from_ms,
@@ -265,15 +267,15 @@
 }
 
 #[test]
-fn a_successor_answers_from_memory_and_starts_nothing() {
-    let leaver = leaver(3);
-    let memory = leaver.engine.remembered_jobs(leaver.now).unwrap();
+fn a_successor_answers_from_memory_and_starts_no_task() {
+    let leaving = leaving_engine(3);
+    let memory = leaving.engine.remembered_jobs(leaving.now).unwrap();
     let mut successor = EngineHarness::new(EngineSettings::default(), 2, 2);
     for job in memory.jobs {
         assert!(successor.engine.remember(successor.now, job.clone()));
         assert!(
             successor.engine.remember(successor.now, job),
-            "twice is once"
+            "remembering a job twice must succeed"
         );
     }
     assert_eq!(successor.engine.stats().keys, 3);
@@ -291,8 +293,8 @@
 }
 
 #[test]
-fn memory_taken_over_counts_in_the_bounds() {
-    let leaver = leaver(4);
+fn received_memory_is_subject_to_the_limits() {
+    let leaving = leaving_engine(4);
     let jobs = JobSettings {
         keys_max: 3,
         results_bytes_max: 3,
@@ -304,7 +306,7 @@
         ..EngineSettings::default()
     };
     let mut successor = EngineHarness::new(settings, 2, 2);
-    let memory = leaver.engine.remembered_jobs(leaver.now).unwrap();
+    let memory = leaving.engine.remembered_jobs(leaving.now).unwrap();
     let kept: Vec<bool> = memory
         .jobs
         .iter()
@@ -312,7 +314,7 @@
         .collect();
     assert_eq!(kept, [true, true, true, false]);
     let stats = successor.engine.stats();
-    // Two results of one byte a job: the oldest were dropped.
+    // Each job has two results of one byte, so only those of the newest job fit.
     assert_eq!((stats.keys, stats.results_bytes), (3, 2));
     recall(&mut successor, &memory.jobs[0].key, Some(7));
     let answer = successor.answer();
--- a/crates/core/tests/handover_history.rs
+++ b/crates/core/tests/handover_history.rs
@@ -1,31 +1,33 @@
-//! Random histories with planned stops: a key of which a successor says that it
-//! never started is never started, before or after.
+//! Simulates random histories with planned stops. A key that a successor reports as
+//! never started must not be started before or after the report.
 //!
-//! `TREFOIL_HISTORIES` sets how many (default 60), `TREFOIL_SEED` the first.
+//! `TREFOIL_HISTORIES` is the number of histories (default: 60), `TREFOIL_SEED` the
+//! first seed.
 
 mod history_support;
 
-use history_support::World;
-use history_support::faults::{Setting, fault, heal, set_clock, submit};
-use history_support::handover::{Broken, Rules};
+use history_support::Simulation;
+use history_support::faults::{
+    FaultModel, end_faults, inject_fault, randomize_clock, submit_random_keys,
+};
+use history_support::handover::{HandoverMutation, HandoverRules};
 use rand::Rng;
 use trefoil_core::membership::MembershipParams;
 
 const DEFAULT_HISTORIES: u64 = 60;
 const STEPS: u32 = 40;
 const STEP_MS: u64 = history_support::faults::STEP_MS;
-const CALM_MS: u64 = 20_000;
-/// Faults come in one of so many steps, planned leaves and restarts in the
-/// others.
+const RECOVERY_MS: u64 = 20_000;
+/// One of this many steps injects a fault; the others stop or restart an instance.
 const STEPS_PER_FAULT: u32 = 3;
 
 #[derive(Debug, Default)]
 struct Outcome {
-    denied: usize,
+    reported: usize,
     started: usize,
-    /// Keys started although a successor said that they never were.
-    false_words: Vec<String>,
-    doubled: usize,
+    /// Keys that were started although a successor reported that they never were.
+    false_reports: Vec<String>,
+    started_twice: usize,
 }
 
 fn env(name: &str, default: u64) -> u64 {
@@ -33,96 +35,96 @@
     value.and_then(|text| text.parse().ok()).unwrap_or(default)
 }
 
-fn history(seed: u64, rules: Rules) -> Outcome {
+fn run_history(seed: u64, rules: HandoverRules) -> Outcome {
     let count = 2 + (seed % 4) as usize;
-    let mut world = World::new(seed, count, MembershipParams::default());
-    world.handover = Some(rules);
-    let setting = Setting::of(seed);
-    world.platform_tells = setting == Setting::PlatformTells;
+    let mut sim = Simulation::new(seed, count, MembershipParams::default());
+    sim.handover = Some(rules);
+    let model = FaultModel::of(seed);
+    sim.platform_reports_exits = model == FaultModel::PlatformReports;
     for index in 0..count {
-        set_clock(&mut world, index, setting);
+        randomize_clock(&mut sim, index, model);
     }
     let mut keys = Vec::new();
     for step in 0..STEPS {
         match step % STEPS_PER_FAULT {
-            0 => fault(&mut world, setting),
-            _ => replace(&mut world),
+            0 => inject_fault(&mut sim, model),
+            _ => leave_or_restart(&mut sim),
         }
-        submit(&mut world, &mut keys);
-        world.run(STEP_MS);
+        submit_random_keys(&mut sim, &mut keys);
+        sim.run(STEP_MS);
     }
-    heal(&mut world, setting);
-    world.run(CALM_MS);
+    end_faults(&mut sim, model);
+    sim.run(RECOVERY_MS);
     for key in &keys {
-        for at in world.alive() {
-            world.submit(at, key, 0);
+        for at in sim.alive() {
+            sim.submit(at, key, 0);
         }
     }
-    world.run(STEP_MS);
-    let false_words = world.denied.iter();
-    let false_words = false_words.filter(|key| world.starts.contains_key(key));
+    sim.run(STEP_MS);
+    let false_reports = sim.reported_never_started.iter();
+    let false_reports = false_reports.filter(|key| sim.starts.contains_key(key));
     Outcome {
-        denied: world.denied.len(),
-        started: world.starts.len(),
-        false_words: false_words.map(ToString::to_string).collect(),
-        doubled: world.starts.values().filter(|by| by.len() > 1).count(),
+        reported: sim.reported_never_started.len(),
+        started: sim.starts.len(),
+        false_reports: false_reports.map(ToString::to_string).collect(),
+        started_twice: sim.starts.values().filter(|by| by.len() > 1).count(),
     }
 }
 
-/// Lets one instance leave, or starts one anew that has left.
-fn replace(world: &mut World) {
-    let index = world.rng.random_range(0..world.nodes.len());
-    match world.nodes[index].alive {
-        true => world.leave(index),
-        false => world.restart(index),
+/// Tells a random instance to leave, or restarts it if it has left.
+fn leave_or_restart(sim: &mut Simulation) {
+    let index = sim.rng.random_range(0..sim.nodes.len());
+    match sim.nodes[index].alive {
+        true => sim.leave(index),
+        false => sim.restart(index),
     }
 }
 
 #[test]
-fn what_a_successor_calls_never_started_never_starts() {
+fn keys_reported_as_never_started_are_never_started() {
     let first = env("TREFOIL_SEED", 1);
     let count = env("TREFOIL_HISTORIES", DEFAULT_HISTORIES);
-    let (mut denied, mut started, mut failed) = (0, 0, Vec::new());
+    let (mut reported, mut started, mut failed) = (0, 0, Vec::new());
     for seed in first..first + count {
-        let outcome = history(seed, Rules::Kept);
-        denied += outcome.denied;
+        let outcome = run_history(seed, HandoverRules::Correct);
+        reported += outcome.reported;
         started += outcome.started;
-        if !outcome.false_words.is_empty() || outcome.doubled > 0 {
+        if !outcome.false_reports.is_empty() || outcome.started_twice > 0 {
             failed.push(format!("seed {seed}: {outcome:?}"));
         }
     }
-    println!("{count} histories, {started} keys started, {denied} said to be never started");
+    println!("{count} histories, {started} keys started, {reported} reported as never started");
     let failures = failed.len();
     failed.truncate(5);
     assert!(failures == 0, "{failures} failed, first {failed:#?}");
-    assert!(denied as u64 > count, "the check had nothing to look at");
+    assert!(reported as u64 > count, "too few reports to check");
 }
 
-/// Broken rules, each with a seed near which a history shows it; without
-/// `TREFOIL_HISTORIES` the search starts there, otherwise at the first seed.
-const BROKEN: [(Broken, u64); 4] = [
-    (Broken::AdmitsAfterwards, 1),
-    (Broken::FormerOwners, 878),
-    (Broken::LastStepOnly, 1),
-    (Broken::OwnKeysOnly, 1),
+/// Mutations, each with a seed from which the next [`DEFAULT_HISTORIES`] detect it. If
+/// `TREFOIL_HISTORIES` is set, the search starts at seed 1 instead.
+const MUTATIONS: [(HandoverMutation, u64); 4] = [
+    (HandoverMutation::AdmitAfterHandover, 1),
+    (HandoverMutation::IncludeFormerOwners, 878),
+    (HandoverMutation::MatchLastPathEntry, 1),
+    (HandoverMutation::OwnKeysOnly, 1),
 ];
 
 #[test]
-fn broken_rules_are_seen() {
+fn mutations_are_detected() {
     let histories = env("TREFOIL_HISTORIES", 0);
-    let mut missed = Vec::new();
-    for (broken, near) in BROKEN {
+    let mut undetected = Vec::new();
+    for (mutation, first_seed) in MUTATIONS {
         let (first, count) = match histories {
-            0 => (near, DEFAULT_HISTORIES),
+            0 => (first_seed, DEFAULT_HISTORIES),
             count => (1, count),
         };
         let mut seeds = first..first + count;
-        let rules = Rules::Broken(broken);
-        let seed = seeds.find(|seed| !history(*seed, rules).false_words.is_empty());
-        println!("{broken:?}: seen at seed {seed:?}, from {first} on");
+        let rules = HandoverRules::Mutated(mutation);
+        let seed = seeds.find(|seed| !run_history(*seed, rules).false_reports.is_empty());
+        println!("{mutation:?}: detected at seed {seed:?}, searched from {first}");
         if seed.is_none() {
-            missed.push(broken);
+            undetected.push(mutation);
         }
     }
-    assert_eq!(missed, []);
+    assert_eq!(undetected, []);
 }
--- a/crates/core/tests/history_support/processes.rs
+++ b/crates/core/tests/history_support/processes.rs
@@ -1,20 +1,19 @@
-//! What happens to single processes of a history.
+//! Lifecycle of simulated processes.
 
 use std::collections::BTreeSet;
 
 use trefoil_core::membership::Event;
 
-use super::{Happening, Memory, Node, World};
+use super::{Memory, Node, SimEvent, Simulation};
 
-impl World {
-    /// Ends a process.
+impl Simulation {
     pub fn kill(&mut self, index: usize) {
         self.nodes[index].alive = false;
-        self.waiting.remove(&index);
-        self.note_list();
+        self.deferred.remove(&index);
+        self.record_list();
     }
 
-    /// Starts a process anew; ends the former one first.
+    /// Starts a new incarnation. Ends the previous one if it is running.
     pub fn restart(&mut self, index: usize) {
         self.kill(index);
         let mut member = self.nodes[index].member.clone();
@@ -24,24 +23,23 @@
             alive: true,
             frozen_until_ms: 0,
             clock_offset_ms: self.nodes[index].clock_offset_ms,
-            seen: BTreeSet::new(),
+            admitted: BTreeSet::new(),
             memory: Memory::default(),
-            introduced: false,
+            initialized: false,
             member: member.clone(),
         };
         self.nodes[index] = node;
-        self.note_list();
-        self.after(0, Happening::Tick(index, member.incarnation));
+        self.record_list();
+        self.schedule(0, SimEvent::Tick(index, member.incarnation));
     }
 
-    /// Stops a process for a time; what reaches it waits.
+    /// Suspends a process for a time; its events are deferred.
     pub fn freeze(&mut self, index: usize, for_ms: u64) {
         let until_ms = self.now_ms + for_ms;
         self.nodes[index].frozen_until_ms = until_ms;
-        self.after(for_ms, Happening::Thaw(index));
+        self.schedule(for_ms, SimEvent::Resume(index));
     }
 
-    /// Tells an instance to leave.
     pub fn leave(&mut self, index: usize) {
         self.deliver(index, Event::Leave);
     }
--- a/crates/core/tests/history_support/store.rs
+++ b/crates/core/tests/history_support/store.rs
@@ -1,4 +1,4 @@
-//! A stand-in for one record of the platform's store.
+//! Simulated platform store with a single view log.
 
 use rand::Rng;
 use rand_chacha::ChaCha8Rng;
@@ -7,20 +7,20 @@
 
 const TIMEOUT_MS: u64 = 2_000;
 
-/// One record, with faults that histories set.
+/// A store with configurable faults.
 #[derive(Default)]
 pub struct FakeStore {
     pub log: Option<ViewLog>,
     pub revision: u64,
     pub down: bool,
-    /// Answers come up to this late.
-    pub slow_max_ms: u64,
-    /// Writes take effect without an answer, of 100.
-    pub lost_percent: u32,
+    /// Maximum latency in addition to the fixed one.
+    pub extra_latency_max_ms: u64,
+    /// Percentage of writes without an answer. They may have taken effect.
+    pub lost_write_percent: u32,
     pub writes: u64,
 }
 
-/// An answer, or that there is none.
+/// Result of an operation.
 pub enum Reply {
     Read {
         domain: String,
@@ -51,11 +51,11 @@
 
 impl FakeStore {
     fn delay_ms(&self, rng: &mut ChaCha8Rng) -> u64 {
-        4 + rng.random_range(0..=self.slow_max_ms)
+        4 + rng.random_range(0..=self.extra_latency_max_ms)
     }
 
-    pub fn read(&mut self, domain: String, reached: bool, rng: &mut ChaCha8Rng) -> (u64, Reply) {
-        if self.down || !reached {
+    pub fn read(&mut self, domain: String, reachable: bool, rng: &mut ChaCha8Rng) -> (u64, Reply) {
+        if self.down || !reachable {
             return (TIMEOUT_MS, Reply::Unreachable(domain));
         }
         let (log, revision) = (self.log.clone(), self.revision);
@@ -71,12 +71,12 @@
         &mut self,
         log: ViewLog,
         expected: u64,
-        reached: bool,
+        reachable: bool,
         rng: &mut ChaCha8Rng,
     ) -> Vec<(u64, Reply)> {
-        let lost = rng.random_range(0..100) < self.lost_percent;
+        let lost = rng.random_range(0..100) < self.lost_write_percent;
         let unknown = (TIMEOUT_MS, Reply::Write(StoreWrite::Unknown));
-        let reaches = reached && !self.down && (!lost || rng.random());
+        let reaches = reachable && !self.down && (!lost || rng.random());
         if !reaches {
             return vec![unknown];
         }
--- a/crates/core/tests/membership_figures.rs
+++ b/crates/core/tests/membership_figures.rs
@@ -1,9 +1,9 @@
-//! What membership costs, and for how long keys go unserved; printed with
-//! `--nocapture` and held to bounds.
+//! Message cost of membership, and how long keys remain unserved after faults. The
+//! figures are printed with `--nocapture`.
 
 mod history_support;
 
-use history_support::{CALM, DOMAIN, EPOCH_MS, Network, World};
+use history_support::{DOMAIN, EPOCH_MS, Network, RELIABLE, Simulation};
 use prost::Message;
 use trefoil_core::key::JobKey;
 use trefoil_core::membership::{Command, Event, ListedInstance, Membership, MembershipParams};
@@ -12,41 +12,44 @@
 use trefoil_schema::peer;
 
 const SEEDS: u64 = 40;
-/// How long a caller goes on trying one key.
-const PATIENCE_MS: u64 = 500;
+/// How long a caller retries a key.
+const RETRY_FOR_MS: u64 = 500;
 
-/// Keys refused after an event at second six, and the age of the last of them.
-fn refused_after(event: fn(&mut World), seed: u64) -> (usize, u64) {
-    let mut world = World::new(seed, 3, MembershipParams::default());
-    world.network = Network {
+/// Number of keys that were not started after `event`, and the time from the event to the
+/// issue of the last one.
+fn unserved_after(event: fn(&mut Simulation), seed: u64) -> (usize, u64) {
+    let mut sim = Simulation::new(seed, 3, MembershipParams::default());
+    sim.network = Network {
         delay_max_ms: 5,
-        ..CALM
+        ..RELIABLE
     };
-    world.run(6_000 + seed * 7);
-    let began_ms = world.now_ms;
-    event(&mut world);
+    sim.run(6_000 + seed * 7);
+    let event_ms = sim.now_ms;
+    event(&mut sim);
     let mut keys = Vec::new();
-    for turn in 0..200 {
-        let key = world.key(EPOCH_MS + world.now_ms);
-        let mut entries = world.alive();
-        entries.retain(|index| world.nodes[*index].frozen_until_ms <= world.now_ms);
-        let entry = entries[turn % entries.len()];
-        for attempt in 0..=PATIENCE_MS / 50 {
-            world.submit(entry, &key, attempt * 50);
+    for number in 0..200 {
+        let key = sim.key(EPOCH_MS + sim.now_ms);
+        let mut entries = sim.alive();
+        entries.retain(|index| sim.nodes[*index].frozen_until_ms <= sim.now_ms);
+        let entry = entries[number % entries.len()];
+        for attempt in 0..=RETRY_FOR_MS / 50 {
+            sim.submit(entry, &key, attempt * 50);
         }
         keys.push(key);
-        world.run(50);
+        sim.run(50);
     }
-    world.run(PATIENCE_MS + 100);
-    let refused = |key: &&JobKey| !world.starts.contains_key(*key);
+    sim.run(RETRY_FOR_MS + 100);
+    let refused = |key: &&JobKey| !sim.starts.contains_key(*key);
     let refused: Vec<&JobKey> = keys.iter().filter(refused).collect();
     let last_ms = refused.iter().map(|key| key.issued_ms() - EPOCH_MS).max();
-    let age_ms = last_ms.map_or(0, |last_ms| last_ms - began_ms);
+    let age_ms = last_ms.map_or(0, |last_ms| last_ms - event_ms);
     (refused.len(), age_ms)
 }
 
-fn summary(name: &str, event: fn(&mut World)) -> (usize, u64) {
-    let outcomes: Vec<(usize, u64)> = (1..=SEEDS).map(|seed| refused_after(event, seed)).collect();
+fn summary(name: &str, event: fn(&mut Simulation)) -> (usize, u64) {
+    let outcomes: Vec<(usize, u64)> = (1..=SEEDS)
+        .map(|seed| unserved_after(event, seed))
+        .collect();
     let refused: usize = outcomes.iter().map(|outcome| outcome.0).sum();
     let worst_ms = outcomes.iter().map(|outcome| outcome.1).max().unwrap_or(0);
     let keys = SEEDS * 200;
@@ -55,27 +58,26 @@
 }
 
 #[test]
-fn keys_go_unserved_for_a_bounded_time() {
+fn keys_are_unserved_for_a_bounded_time() {
     assert_eq!(summary("nothing", |_| {}), (0, 0));
-    assert_eq!(summary("planned leave", |world| world.leave(0)), (0, 0));
-    let (_, killed_ms) = summary("kill", |world| world.kill(0));
+    assert_eq!(summary("planned leave", |sim| sim.leave(0)), (0, 0));
+    let (_, killed_ms) = summary("kill", |sim| sim.kill(0));
     assert!(killed_ms <= 2_500);
-    let (_, restarted_ms) = summary("kill and restart at once", |world| world.restart(0));
+    let (_, restarted_ms) = summary("kill and restart at once", |sim| sim.restart(0));
     assert!(restarted_ms <= 2_500);
-    let (_, frozen_ms) = summary("freeze of 5 s", |world| world.freeze(0, 5_000));
+    let (_, frozen_ms) = summary("freeze of 5 s", |sim| sim.freeze(0, 5_000));
     assert!(frozen_ms <= 2_500);
-    assert_eq!(
-        summary("store down", |world| world.store.down = true),
-        (0, 0)
-    );
+    assert_eq!(summary("store down", |sim| sim.store.down = true), (0, 0));
 }
 
-/// Bytes and messages of one heartbeat period for `others` in another domain.
+/// Messages and bytes sent per heartbeat interval, with `others` instances in another
+/// domain.
 fn period_cost(others: usize) -> (usize, usize) {
     let domains = [DOMAIN.to_owned(), "b".to_owned()];
     let me = Member::new("entry-a-1", 1_700_000_000_000);
     let address = "127.0.0.1:17401";
-    let mut one = Membership::new(MembershipParams::default(), me, DOMAIN, &domains, address);
+    let mut membership =
+        Membership::new(MembershipParams::default(), me, DOMAIN, &domains, address);
     let listed = |name: String, domain: &str| ListedInstance {
         member: Member::new(&name, 1_700_000_000_000),
         domain: domain.to_owned(),
@@ -85,12 +87,12 @@
     let near = (2..=3).map(|index| listed(format!("entry-a-{index}"), DOMAIN));
     let far = (0..others).map(|index| listed(format!("entry-b-{index:04}"), "b"));
     let list = near.chain(far).collect();
-    one.handle(Now::default(), Event::PlatformList(list), &mut Vec::new());
+    membership.handle(Now::default(), Event::PlatformList(list), &mut Vec::new());
     let mut commands = Vec::new();
     let tick = Event::Tick {
         entropy: 0x1234_5678,
     };
-    one.handle(Now::default(), tick, &mut commands);
+    membership.handle(Now::default(), tick, &mut commands);
     let sent = commands.into_iter().filter_map(|command| match command {
         Command::Send { body, .. } => Some(peer::Message { body: Some(body) }.encoded_len()),
         _ => None,
@@ -100,10 +102,10 @@
 }
 
 #[test]
-fn the_cost_of_a_period_is_flat_in_the_fleet() {
+fn heartbeat_cost_does_not_depend_on_the_number_of_instances() {
     let costs = [20, 200, 2_000].map(|others| (others, period_cost(others)));
     for (others, (messages, bytes)) in costs {
-        println!("{others} others: {messages} messages, {bytes} bytes a period");
+        println!("{others} others: {messages} messages, {bytes} bytes per interval");
         assert_eq!((messages, bytes), costs[0].1);
     }
 }
