--- a/crates/core/src/key.rs
+++ b/crates/core/src/key.rs
@@ -17,7 +17,7 @@
 use xxhash_rust::xxh3::xxh3_64;
 
 /// Maximum length of a key, in bytes.
-pub const KEY_BYTES_MAX: usize = 200;
+const KEY_BYTES_MAX: usize = 200;
 /// Number of digits of a Unix time in milliseconds between 2001 and 2286.
 const TIMESTAMP_DIGITS: usize = 13;
 const DOMAIN_TAG_MASK: u16 = 0x0fff;
@@ -140,7 +140,7 @@
 }
 
 /// Tag of a failure domain in minted keys, of twelve bits.
-pub fn domain_tag(domain: &str) -> u16 {
+fn domain_tag(domain: &str) -> u16 {
     (xxh3_64(domain.as_bytes()) as u16) & DOMAIN_TAG_MASK
 }
 
--- a/crates/core/src/membership.rs
+++ b/crates/core/src/membership.rs
@@ -286,7 +286,7 @@
 
     /// Serving instances of this failure domain, sorted. Includes this instance
     /// unless it is leaving.
-    pub fn domain_members(&self) -> Vec<Member> {
+    pub(crate) fn domain_members(&self) -> Vec<Member> {
         let mut members = self.serving_peers();
         if !self.leaving {
             members.push(self.me.clone());
--- a/crates/core/src/membership/view_change.rs
+++ b/crates/core/src/membership/view_change.rs
@@ -87,12 +87,12 @@
         if let Some(own) = seals.get(member).filter(valid) {
             return Some(own.until_ms + 1);
         }
-        let newest = seals
+        let latest = seals
             .values()
             .filter(valid)
             .max_by_key(|seal| seal.adopted_version);
         let (adopted, older_ms) =
-            newest.map_or((0, 0), |seal| (seal.adopted_version, seal.older_limit_ms));
+            latest.map_or((0, 0), |seal| (seal.adopted_version, seal.older_limit_ms));
         let until_ms = seals.values().filter(valid).map(|seal| seal.until_ms).max();
         let until_ms = until_ms.unwrap_or(0).max(older_ms);
         let mut uses_clock = false;
--- a/crates/core/src/membership/vouching.rs
+++ b/crates/core/src/membership/vouching.rs
@@ -1,10 +1,10 @@
 //! The admission limit of this instance, and its promises to others.
 //!
-//! An instance may admit keys issued up to its admission limit. A vouch is a promise
-//! that a member may raise its limit to a key time; the limit rises to a time that a
-//! quorum of the view, the member included, has vouched for. A seal is a promise not
-//! to vouch for a member in a view and all older ones. If enough members have sealed
-//! it to prevent a quorum, their latest vouch bounds the keys that it ever admits.
+//! An instance may admit keys issued up to its admission limit, which rises to a time
+//! that a quorum of its view, itself included, has vouched for. All vouches are recorded
+//! by the members that give them. A member that seals another one no longer vouches for
+//! it in a view and all older ones. If enough members have sealed it to prevent a
+//! quorum, the latest vouch among them bounds the keys that it ever admits.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -222,7 +222,7 @@
     }
 
     /// First key time from which no former owner may have admitted the keys that this
-    /// instance owns.
+    /// instance owns, or `u64::MAX` if it is not known yet.
     pub fn sole_owner_from_ms(&self) -> u64 {
         let confirmed = self.periods.len() < PERIODS_MAX
             && self
@@ -268,7 +268,8 @@
 /// window refuses keys of older periods.
 const PERIODS_MAX: usize = 16;
 
-/// The last consecutive view after those of the period that contains `me`.
+/// Version of the last view in which `me` is still a member without interruption since
+/// the period.
 fn last_version(me: &Member, log: &ViewLog, period: &MembershipPeriod) -> u64 {
     let views = log.views().iter();
     views
--- a/crates/core/src/view.rs
+++ b/crates/core/src/view.rs
@@ -165,13 +165,13 @@
 
     /// Returns this log without the views older than `version`.
     #[must_use]
-    pub fn without_before(&self, version: u64) -> Self {
+    pub(crate) fn without_before(&self, version: u64) -> Self {
         let kept = self.views.iter().filter(|view| view.version >= version);
         Self::new(kept.cloned().collect())
     }
 
     /// First version of the consecutive views, up to the newest, that contain `member`.
-    pub fn current_period_start(&self, member: &Member) -> Option<u64> {
+    pub(crate) fn current_period_start(&self, member: &Member) -> Option<u64> {
         let newest_first = self.views.iter().rev();
         newest_first
             .take_while(|view| view.contains(member))
@@ -246,7 +246,7 @@
     }
 
     /// Converts and checks a log received in a message.
-    pub fn from_record(record: &peer::ViewRecord) -> Result<Self, ViewError> {
+    pub(crate) fn from_record(record: &peer::ViewRecord) -> Result<Self, ViewError> {
         let log = Self::new(record.views.iter().map(Into::into).collect());
         log.check()?;
         Ok(log)
@@ -269,7 +269,7 @@
     }
 
     /// Number of members, including the requester, that must vouch for an admission limit.
-    pub fn quorum(&self) -> usize {
+    pub(crate) fn quorum(&self) -> usize {
         match self.members.len() {
             count @ 0..=2 => count,
             3 => 2,
@@ -278,7 +278,7 @@
     }
 
     /// Number of other members whose seals prevent a quorum for the sealed one.
-    pub fn blocking_quorum(&self) -> usize {
+    pub(crate) fn blocking_quorum(&self) -> usize {
         self.members.len() - self.quorum() + 1
     }
 
--- a/crates/core/tests/membership.rs
+++ b/crates/core/tests/membership.rs
@@ -81,7 +81,7 @@
     sim.store.down = false;
     sim.run(6_000);
     assert!(starts_new_keys(&mut sim));
-    // Issued after the last time vouched for n0, so n0 cannot have started it.
+    // Issued after the last time vouched for n0, so no instance can have started it.
     assert_eq!(started_by(&mut sim, &lost).len(), 1);
     assert_eq!(started_by(&mut sim, &admitted).len(), 1);
     assert_eq!(sim.nodes[1].membership.route(&admitted), Route::OwnerLost);
