--- a/tests/testsuite/conditions.rs
+++ b/tests/testsuite/conditions.rs
@@ -20,7 +20,7 @@
 use trefoilbay::workers::WorkerClient;
 
 use crate::metrics::Worker;
-use crate::support::pair::Pair;
+use crate::support::pair::InstancePair;
 
 const DOMAIN: &str = "local";
 const TARGET_MS: u64 = 400;
@@ -198,20 +198,20 @@
 async fn an_instance_shows_the_conditions_that_it_sees() {
     let worker = Worker::start().await;
     let telemetry = |settings: &_| Telemetry::start(settings).unwrap();
-    let pair = Pair::start(worker.address, telemetry).await;
+    let pair = InstancePair::start(worker.address, telemetry).await;
     for (path, aspect) in [
         ("/v1/backend-servers/worker-1", "Healthy"),
         ("/v1/services/pay", "HasWorkers"),
         ("/v1/services/pay", "MeetsTargets"),
     ] {
         let has_it = |text: &str| text.contains(aspect);
-        let text = pair.until(pair.entries[0], path, has_it).await;
+        let text = pair.wait_for_response(pair.entries[0], path, has_it).await;
         let found: StoredResource = serde_json::from_str(&text).unwrap();
         let mut conditions = found.status.conditions.iter();
         let one = conditions.find(|one| one.type_ == aspect).unwrap();
         // The pair's own probes count: one that was refused misses the target.
         let missed = aspect == "MeetsTargets" && one.reason == "TooManyRefused";
-        let expected = match missed && pair.probes_refused > 0 {
+        let expected = match missed && pair.setup_jobs_refused > 0 {
             true => ConditionStatus::False,
             false => ConditionStatus::True,
         };
--- a/tests/testsuite/ctl.rs
+++ b/tests/testsuite/ctl.rs
@@ -11,7 +11,9 @@
 use trefoil_schema::api::InstanceStateName::{Serving, Silent};
 use trefoil_schema::api::JobResponse;
 
-use crate::support::api_stub::{ApiStub, ClosedAddress, MINTED_KEY, instance, seen_by};
+use crate::support::api_stub::{
+    ApiStub, ClosedAddress, MINTED_KEY, instance_status, status_response,
+};
 
 const KEY: &str = "1764691200000-payrun";
 const BLUE_MAHOE: &str = "-f examples/blue-mahoe/backend-servers -f examples/blue-mahoe";
@@ -92,7 +94,7 @@
     let lines = String::from_utf8_lossy(&again.stdout);
     let unchanged = lines.lines().filter(|line| line.contains(" unchanged "));
     assert_eq!(unchanged.count(), 10, "{lines}");
-    assert_eq!(stub.state.lock().unwrap().changes.len(), 10);
+    assert_eq!(stub.state.lock().unwrap().write_requests.len(), 10);
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
@@ -227,13 +229,13 @@
           hint: see `trefoilctl schema resources` or `schema api`
     "#]]
     .assert_eq(&shown);
-    assert!(stub.state.lock().unwrap().changes.is_empty());
+    assert!(stub.state.lock().unwrap().write_requests.is_empty());
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn a_lost_answer_to_a_declaration_is_read_back_and_not_sent_again() {
     let stub = ApiStub::start().await;
-    stub.set(|state| state.swallow_answers = true);
+    stub.set(|state| state.withhold_responses = true);
     let line = "apply --request-timeout-ms 300 -f examples/haugland/teams.json";
     check(
         &stub,
@@ -247,7 +249,7 @@
         "#]],
     )
     .await;
-    assert_eq!(stub.state.lock().unwrap().changes.len(), 3);
+    assert_eq!(stub.state.lock().unwrap().write_requests.len(), 3);
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
@@ -256,7 +258,7 @@
     let rude = rude_entry().await;
     let line = "apply -f examples/haugland/teams.json";
     assert_eq!(exit_code(&[&rude, &stub.address], line).await, 4);
-    assert!(stub.state.lock().unwrap().changes.is_empty());
+    assert!(stub.state.lock().unwrap().write_requests.is_empty());
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
@@ -276,7 +278,10 @@
     let replayed: Vec<bool> = answers.iter().map(|answer| answer.replayed).collect();
     assert_eq!(replayed, [false, true]);
     assert!(answers.iter().all(|answer| answer.results == [7, 7]));
-    assert_eq!(stub.state.lock().unwrap().keys, [MINTED_KEY, MINTED_KEY]);
+    assert_eq!(
+        stub.state.lock().unwrap().submitted_keys,
+        [MINTED_KEY, MINTED_KEY]
+    );
     let line = "submit --no-wait -f examples/haugland/jobs/revocation.json";
     assert_eq!(exit_code(&[&stub.address], line).await, 0);
     let both = format!("{line} --service payrun");
@@ -293,7 +298,7 @@
         exit_code(&[&closed.address, &rude, &stub.address], &line).await,
         0
     );
-    assert_eq!(stub.state.lock().unwrap().keys, [KEY]);
+    assert_eq!(stub.state.lock().unwrap().submitted_keys, [KEY]);
     assert_eq!(exit_code(&[&rude, &closed.address], &line).await, 4);
     assert_eq!(exit_code(&[&closed.address], &line).await, 1);
 }
@@ -366,7 +371,7 @@
         assert_eq!(job.key, key);
     }
     let expected = "DELETE /v1/jobs/1764691200000-a%2Fb%3Fc%2520";
-    assert_eq!(stub.state.lock().unwrap().changes, [expected]);
+    assert_eq!(stub.state.lock().unwrap().write_requests, [expected]);
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
@@ -381,15 +386,18 @@
         --
     "#]]
     .assert_eq(&shown(&output, &named));
-    assert!(other.state.lock().unwrap().changes.is_empty());
+    assert!(other.state.lock().unwrap().write_requests.is_empty());
     assert_eq!(exit_code(&[&other.address], &line).await, 1);
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn an_instance_that_is_cut_off_is_told_as_silent_and_never_as_done() {
     let stub = ApiStub::start().await;
-    let seen = vec![instance("a", Serving, 9, 0), instance("b", Silent, 1, 900)];
-    stub.set(|state| state.status = Some(seen_by("a", 9, seen)));
+    let seen = vec![
+        instance_status("a", Serving, 9, 0),
+        instance_status("b", Silent, 1, 900),
+    ];
+    stub.set(|state| state.status = Some(status_response("a", 9, seen)));
     check(
         &stub,
         "status",
--- a/tests/testsuite/ctl_rollout.rs
+++ b/tests/testsuite/ctl_rollout.rs
@@ -7,7 +7,7 @@
 use trefoilbay::ops::error::{ExitStatus, OpsError};
 use trefoilbay::ops::rollout::{self, Fleet, InForce};
 
-use crate::support::api_stub::{ApiStub, ClosedAddress, instance, seen_by};
+use crate::support::api_stub::{ApiStub, ClosedAddress, instance_status, status_response};
 
 fn client(stubs: &[&ApiStub]) -> Client {
     client_of(stubs.iter().map(|stub| stub.address.clone()).collect())
@@ -25,30 +25,37 @@
 fn a_silent_instance_is_unknown_until_a_newer_word_of_it() {
     let mut fleet = Fleet::default();
     let seen = vec![
-        instance("a", Serving, 7, 0),
-        instance("b", Silent, 6, 900),
-        instance("c", Gone, 5, 9000),
+        instance_status("a", Serving, 7, 0),
+        instance_status("b", Silent, 6, 900),
+        instance_status("c", Gone, 5, 9000),
     ];
-    fleet.add(seen_by("a", 7, seen));
+    fleet.add(status_response("a", 7, seen));
     assert_eq!(fleet.in_force(&fleet.instances["b"], 7), InForce::Unknown);
     assert_eq!(fleet.in_force(&fleet.instances["b"], 6), InForce::Yes);
     assert!(!fleet.complete(7));
     assert_eq!(fleet.counts(7), (1, 2));
 
-    fleet.add(seen_by("b", 7, vec![instance("b", Leaving, 7, 0)]));
+    fleet.add(status_response(
+        "b",
+        7,
+        vec![instance_status("b", Leaving, 7, 0)],
+    ));
     assert!(fleet.complete(7));
 }
 
 #[test]
 fn a_restarted_instance_counts_by_its_newest_start() {
     let mut fleet = Fleet::default();
-    let mut restarted = instance("b", Serving, 0, 50);
+    let mut restarted = instance_status("b", Serving, 0, 50);
     restarted.incarnation = 2;
-    fleet.add(seen_by("b", 0, vec![restarted]));
-    fleet.add(seen_by(
+    fleet.add(status_response("b", 0, vec![restarted]));
+    fleet.add(status_response(
         "a",
         7,
-        vec![instance("a", Serving, 7, 0), instance("b", Serving, 7, 10)],
+        vec![
+            instance_status("a", Serving, 7, 0),
+            instance_status("b", Serving, 7, 10),
+        ],
     ));
     assert_eq!(fleet.in_force(&fleet.instances["b"], 7), InForce::NotYet);
 }
@@ -62,11 +69,11 @@
 async fn wait_names_what_is_missing() {
     let stub = ApiStub::start().await;
     let seen = vec![
-        instance("a", Serving, 7, 0),
-        instance("b", Silent, 6, 900),
-        instance("c", Serving, 6, 5),
+        instance_status("a", Serving, 7, 0),
+        instance_status("b", Silent, 6, 900),
+        instance_status("c", Serving, 6, 5),
     ];
-    stub.set(|state| state.status = Some(seen_by("a", 7, seen)));
+    stub.set(|state| state.status = Some(status_response("a", 7, seen)));
     let error = rollout::wait(&client(&[&stub]), 7, 1, |_| ())
         .await
         .expect_err("not complete");
@@ -78,16 +85,31 @@
 async fn wait_ends_when_the_last_instance_has_it() {
     let (a, b) = (ApiStub::start().await, ApiStub::start().await);
     a.set(|state| {
-        let seen = vec![instance("a", Serving, 7, 0), instance("b", Silent, 6, 900)];
-        state.status = Some(seen_by("a", 7, seen));
+        let seen = vec![
+            instance_status("a", Serving, 7, 0),
+            instance_status("b", Silent, 6, 900),
+        ];
+        state.status = Some(status_response("a", 7, seen));
+    });
+    b.set(|state| {
+        state.status = Some(status_response(
+            "b",
+            6,
+            vec![instance_status("b", Serving, 6, 0)],
+        ))
     });
-    b.set(|state| state.status = Some(seen_by("b", 6, vec![instance("b", Serving, 6, 0)])));
     let both = client(&[&a, &b]);
     let mut looks = 0;
     let waited = rollout::wait(&both, 7, 20_000, |fleet| {
         looks += 1;
         assert_eq!(fleet.complete(7), looks == 2);
-        b.set(|state| state.status = Some(seen_by("b", 7, vec![instance("b", Serving, 7, 0)])));
+        b.set(|state| {
+            state.status = Some(status_response(
+                "b",
+                7,
+                vec![instance_status("b", Serving, 7, 0)],
+            ))
+        });
     });
     waited.await.expect("complete at the second look");
     assert_eq!(looks, 2);
--- a/tests/testsuite/leaving_servers.rs
+++ b/tests/testsuite/leaving_servers.rs
@@ -13,7 +13,7 @@
 use trefoil_fakes::worker::record::unix_ms;
 
 use crate::support::callers::Callers;
-use crate::support::deployment::{DOMAINS, Deployment, SERVICE, Size, until};
+use crate::support::deployment::{DOMAINS, Deployment, DeploymentOptions, SERVICE, wait_until};
 
 const PERIOD_MS: u64 = 10;
 /// Longest time from the command's begin to the last start.
@@ -25,7 +25,7 @@
 
 async fn ctl(deployment: &Deployment, args: &[&str]) -> Output {
     let entries: Vec<String> = deployment
-        .world
+        .client
         .entries
         .iter()
         .map(ToString::to_string)
@@ -54,7 +54,7 @@
 
 async fn apply(deployment: &Deployment, resource: &Value) {
     let name = resource["name"].as_str().unwrap();
-    let own = deployment.world.entries[0]
+    let own = deployment.client.entries[0]
         .to_string()
         .replace([':', '.'], "-");
     let directory = Path::new(env!("CARGO_TARGET_TMPDIR"));
@@ -79,7 +79,7 @@
 }
 
 async fn warm(deployment: &Deployment) {
-    until("every server gets work", async || {
+    wait_until("every server gets work", async || {
         (0..4).all(|index| starts_at(deployment, index).len() >= WARM_STARTS)
     })
     .await;
@@ -101,15 +101,15 @@
         .filter(|start| start.dropped)
         .count();
     assert_eq!(dropped, 0, "a task was cut off at its backend server");
-    let tally = deployment.verdict();
+    let tally = deployment.check_history();
     let failures = ["task_failed", "deadline", "answer_lost", "owner_lost"];
-    assert_eq!(tally.of(&failures), 0, "{tally:?}");
+    assert_eq!(tally.count(&failures), 0, "{tally:?}");
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn a_server_declared_leaving_gets_no_new_work() {
-    let deployment = Deployment::start(Size::default()).await;
-    let callers = Callers::start(&deployment.world, vec![0, 1, 2], PERIOD_MS);
+    let deployment = Deployment::start(DeploymentOptions::default()).await;
+    let callers = Callers::start(&deployment.client, vec![0, 1, 2], PERIOD_MS);
     warm(&deployment).await;
     let declared_ms = unix_ms();
     apply(&deployment, &server(&deployment, 0, "leaving")).await;
@@ -118,8 +118,8 @@
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn a_server_removed_gets_no_new_work() {
-    let deployment = Deployment::start(Size::default()).await;
-    let callers = Callers::start(&deployment.world, vec![0, 1, 2], PERIOD_MS);
+    let deployment = Deployment::start(DeploymentOptions::default()).await;
+    let callers = Callers::start(&deployment.client, vec![0, 1, 2], PERIOD_MS);
     warm(&deployment).await;
     let name = format!("{}-1", DOMAINS[0]);
     let declared_ms = unix_ms();
@@ -129,12 +129,12 @@
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn the_declaration_spreads_while_the_store_is_down() {
-    let deployment = Deployment::start(Size::default()).await;
-    let callers = Callers::start(&deployment.world, vec![0, 1, 2], PERIOD_MS);
+    let deployment = Deployment::start(DeploymentOptions::default()).await;
+    let callers = Callers::start(&deployment.client, vec![0, 1, 2], PERIOD_MS);
     warm(&deployment).await;
     let declared_ms = unix_ms();
     apply(&deployment, &server(&deployment, 2, "leaving")).await;
-    deployment.order_platform(&FaultUpdate {
+    deployment.update_platform_faults(&FaultUpdate {
         down: Some(true),
         ..FaultUpdate::default()
     });
--- a/tests/testsuite/metrics.rs
+++ b/tests/testsuite/metrics.rs
@@ -16,7 +16,7 @@
 use trefoilbay::links::{LinkSettings, Links};
 use trefoilbay::util::telemetry::Telemetry;
 
-use crate::support::pair::Pair;
+use crate::support::pair::InstancePair;
 
 const OPERATIONS: &str = include_str!("../../docs/OPERATIONS.md");
 /// Past the second after which an entry asks a key's owner again.
@@ -56,8 +56,8 @@
     Ok("1")
 }
 
-async fn pair(worker: &Worker) -> Pair {
-    Pair::start(worker.address, |settings| {
+async fn pair(worker: &Worker) -> InstancePair {
+    InstancePair::start(worker.address, |settings| {
         Telemetry::start(settings).unwrap()
     })
     .await
@@ -78,9 +78,9 @@
 }
 
 /// Both pages, once they are as wished.
-async fn pages_when(pair: &Pair, fits: impl Fn(&[String; 2]) -> bool) -> [String; 2] {
+async fn pages_when(pair: &InstancePair, fits: impl Fn(&[String; 2]) -> bool) -> [String; 2] {
     for _ in 0..STEPS_MAX {
-        let pages = [pair.page(0).await, pair.page(1).await];
+        let pages = [pair.metrics_page(0).await, pair.metrics_page(1).await];
         if fits(&pages) {
             return pages;
         }
@@ -103,7 +103,7 @@
     let client = Client::default();
     let refused = client.post(pair.entries[0], "/v1/jobs", "{}");
     assert_eq!(refused.await.unwrap().status.as_u16(), 400, "without a key");
-    let key = pair.key().await;
+    let key = pair.mint_key().await;
     for entry in pair.entries {
         pair.submit(entry, &key, "").await;
     }
@@ -188,7 +188,7 @@
     };
     let log = Logger::root(Discard, o!());
     let (links, _incoming) = Links::start(settings, log).unwrap();
-    let key = pair.key().await;
+    let key = pair.mint_key().await;
     let job = ForwardJob {
         request_id: 1,
         key: key.clone(),
@@ -214,7 +214,7 @@
     let mut misrouted = 0.0;
     for entry in pair.entries {
         let stale = |page: &str| wasted(page, "stale_peer_message") >= Some(1.0);
-        let page = pair.until(entry, "/metrics", stale).await;
+        let page = pair.wait_for_response(entry, "/metrics", stale).await;
         misrouted += wasted(&page, "misrouted").unwrap();
     }
     assert_eq!(misrouted, 1.0, "the key has one owner of the two");
@@ -224,7 +224,7 @@
 async fn a_forwarded_job_of_over_a_second_is_asked_for_again() {
     let worker = Worker::start().await;
     let pair = pair(&worker).await;
-    let key = pair.key().await;
+    let key = pair.mint_key().await;
     let slow = |entry| pair.submit_payload(entry, &key, json!({"run_ms": SLOW_MS}));
     tokio::join!(slow(pair.entries[0]), slow(pair.entries[1]));
     let name = "trefoil_wasted_messages_total";
--- a/tests/testsuite/schemas.rs
+++ b/tests/testsuite/schemas.rs
@@ -11,7 +11,7 @@
 use trefoilbay::util::telemetry::Telemetry;
 
 use crate::metrics::Worker;
-use crate::support::pair::Pair;
+use crate::support::pair::InstancePair;
 
 const EXAMPLES: &str = concat!(env!("CARGO_MANIFEST_DIR"), "/examples");
 
@@ -129,7 +129,7 @@
 async fn answers_of_an_instance_are_valid() {
     let worker = Worker::start().await;
     let telemetry = |settings: &_| Telemetry::start(settings).unwrap();
-    let pair = Pair::start(worker.address, telemetry).await;
+    let pair = InstancePair::start(worker.address, telemetry).await;
     let (api, resources) = (printed("api"), printed("resources"));
     let entry = pair.entries[0];
     let client = Client::default();
@@ -140,7 +140,7 @@
         &parse(&keys.body),
         "keys",
     );
-    let job = pair.submit(entry, &pair.key().await, "").await;
+    let job = pair.submit(entry, &pair.mint_key().await, "").await;
     assert_valid(&definition(&api, "JobResponse"), &job, "job");
     let refused = client.post(entry, "/v1/jobs", "{}").await.unwrap();
     assert_valid(
--- a/tests/testsuite/support/api_stub.rs
+++ b/tests/testsuite/support/api_stub.rs
@@ -45,15 +45,15 @@
     /// What it sees; the configuration in force at itself alone when not set.
     pub status: Option<StatusResponse>,
     /// Let a change take effect, then never answer.
-    pub swallow_answers: bool,
+    pub withhold_responses: bool,
     /// Refuse jobs with this status, reason, verdict and request verdict.
     pub refuse_jobs: Option<(u16, &'static str, Verdict, Verdict)>,
     /// Change requests, as METHOD PATH, in order.
-    pub changes: Vec<String>,
+    pub write_requests: Vec<String>,
     /// Keys of the jobs submitted, in order.
-    pub keys: Vec<String>,
+    pub submitted_keys: Vec<String>,
     /// Told once it is to stop.
-    pub leaving: Arc<Notify>,
+    pub shutdown: Arc<Notify>,
 }
 
 type Shared = Arc<Mutex<StubState>>;
@@ -71,8 +71,8 @@
         let local = acceptor.local_addr().remove(0);
         let address = local.as_socket_addr().expect("TCP").to_string();
         let state = Shared::default();
-        let leaving = state.lock().unwrap().leaving.clone();
-        let signal = async move { leaving.notified().await };
+        let shutdown = state.lock().unwrap().shutdown.clone();
+        let signal = async move { shutdown.notified().await };
         let routes = routes(&platform, &state);
         let server = Server::new_with_acceptor(acceptor);
         let server = tokio::spawn(server.run_with_graceful_shutdown(routes, signal, None));
@@ -119,10 +119,10 @@
     let changes = request.method() != "GET";
     if changes {
         let title = format!("{} {}", request.method(), request.uri());
-        state.lock().unwrap().changes.push(title);
+        state.lock().unwrap().write_requests.push(title);
     }
     let response = routes.get_response(request).await;
-    let swallow = changes && state.lock().unwrap().swallow_answers;
+    let swallow = changes && state.lock().unwrap().withhold_responses;
     if swallow {
         pending::<()>().await;
     }
@@ -149,8 +149,8 @@
             let ordered = state.lock().unwrap().status.clone();
             ordered.unwrap_or_else(|| {
                 let revision = config.current().revision;
-                let own = instance("a", InstanceStateName::Serving, revision, 0);
-                seen_by("a", revision, vec![own])
+                let own = instance_status("a", InstanceStateName::Serving, revision, 0);
+                status_response("a", revision, vec![own])
             })
         }
     };
@@ -184,7 +184,7 @@
 }
 
 /// News of one instance.
-pub fn instance(
+pub fn instance_status(
     name: &str,
     state: InstanceStateName,
     revision: u64,
@@ -201,7 +201,11 @@
 }
 
 /// What `name` sees.
-pub fn seen_by(name: &str, revision: u64, instances: Vec<InstanceStatus>) -> StatusResponse {
+pub fn status_response(
+    name: &str,
+    revision: u64,
+    instances: Vec<InstanceStatus>,
+) -> StatusResponse {
     StatusResponse {
         instance: name.to_owned(),
         config_revision: revision,
@@ -221,8 +225,8 @@
     let key = request.header("idempotency-key").expect("a key").to_owned();
     let (refusal, replayed) = {
         let mut state = state.lock().unwrap();
-        let replayed = state.keys.contains(&key);
-        state.keys.push(key.clone());
+        let replayed = state.submitted_keys.contains(&key);
+        state.submitted_keys.push(key.clone());
         (state.refuse_jobs, replayed)
     };
     if let Some((status, reason, verdict, request_verdict)) = refusal {
@@ -258,6 +262,6 @@
 /// Ends the stand-in, connections of later requests first.
 #[handler]
 fn drain(state: Data<&Shared>) -> StatusCode {
-    state.lock().unwrap().leaving.notify_one();
+    state.lock().unwrap().shutdown.notify_one();
     StatusCode::ACCEPTED
 }
--- a/tests/testsuite/support/callers.rs
+++ b/tests/testsuite/support/callers.rs
@@ -61,9 +61,9 @@
 }
 
 /// What all callers share.
-pub struct World {
+pub struct RecordingClient {
     pub entries: Vec<SocketAddr>,
-    pub client: Client,
+    pub http: Client,
     domains: Vec<String>,
     recorded: Mutex<Vec<Recorded>>,
     /// Entries that a balancer leaves out; none without one.
@@ -72,27 +72,27 @@
 
 /// Leaves out entries that are not ready, as the users' balancer does, until
 /// dropped.
-pub struct Balancer(JoinHandle<()>);
+pub struct LoadBalancer(JoinHandle<()>);
 
-impl Balancer {
-    pub fn start(world: &Arc<World>) -> Self {
-        Self(tokio::spawn(balance(Arc::clone(world))))
+impl LoadBalancer {
+    pub fn start(client: &Arc<RecordingClient>) -> Self {
+        Self(tokio::spawn(balance(Arc::clone(client))))
     }
 }
 
-impl Drop for Balancer {
+impl Drop for LoadBalancer {
     fn drop(&mut self) {
         self.0.abort();
     }
 }
 
 /// Reads readiness over connections of its own, one a look.
-async fn balance(world: Arc<World>) {
+async fn balance(client: Arc<RecordingClient>) {
     loop {
-        for (entry, address) in world.entries.iter().enumerate() {
+        for (entry, address) in client.entries.iter().enumerate() {
             let reply = Client::default().get(*address, "/readyz").await;
             let ready = reply.is_ok_and(|reply| reply.status.is_success());
-            let mut left_out = world.left_out.lock().unwrap();
+            let mut left_out = client.left_out.lock().unwrap();
             match ready {
                 true => left_out.remove(&entry),
                 false => left_out.insert(entry),
@@ -102,11 +102,11 @@
     }
 }
 
-impl World {
+impl RecordingClient {
     pub fn new(entries: Vec<SocketAddr>, domains: Vec<&str>) -> Self {
         Self {
             entries,
-            client: Client::default(),
+            http: Client::default(),
             domains: domains.into_iter().map(str::to_owned).collect(),
             recorded: Mutex::default(),
             left_out: Mutex::default(),
@@ -114,7 +114,7 @@
     }
 
     /// Sends new requests of callers to other entries than this one.
-    pub fn leave_out(&self, entry: Option<usize>) {
+    pub fn exclude_entry(&self, entry: Option<usize>) {
         *self.left_out.lock().unwrap() = entry.into_iter().collect();
     }
 
@@ -133,7 +133,7 @@
     }
 
     /// As [`Self::job`], with another body under the same key.
-    pub fn other_job(&self, key: &str, tasks: usize, run_ms: u64) -> Job {
+    pub fn job_with_other_body(&self, key: &str, tasks: usize, run_ms: u64) -> Job {
         self.marked_job(key, "#other#", tasks, run_ms)
     }
 
@@ -154,12 +154,12 @@
     }
 
     /// A key that `entry` mints, or a UUID of version 7 of the caller's own.
-    pub async fn fresh_key(&self, entry: usize, minted: bool) -> Option<String> {
+    pub async fn new_key(&self, entry: usize, minted: bool) -> Option<String> {
         if !minted {
             return Some(uuid::Uuid::now_v7().to_string());
         }
         let path = "/v1/keys?count=1";
-        let reply = self.client.post(self.entries[entry], path, "");
+        let reply = self.http.post(self.entries[entry], path, "");
         let reply = timeout(CALL_LIMIT, reply).await.ok()?.ok()?;
         let keys: Value = serde_json::from_slice(&reply.body).ok()?;
         Some(keys["keys"][0].as_str()?.to_owned())
@@ -224,7 +224,7 @@
             tokens: job.tokens.clone(),
             ..HistoryEntry::default()
         };
-        let reply = timeout(CALL_LIMIT, self.client.send(request)).await;
+        let reply = timeout(CALL_LIMIT, self.http.send(request)).await;
         let answer = read_answer(reply.ok(), &mut history);
         history.answered_ms = unix_ms() as f64;
         let request_verdict = match history.reason == UNREACHABLE {
@@ -282,7 +282,7 @@
     }
 
     /// What each job that never completed was told, in order, for people.
-    pub fn incomplete(&self) -> Vec<String> {
+    pub fn describe_incomplete_jobs(&self) -> Vec<String> {
         let mut told: BTreeMap<String, Vec<String>> = BTreeMap::new();
         for entry in self.requests() {
             let word = format!(
@@ -362,22 +362,22 @@
 /// word and then once more through every other instance.
 pub struct Callers {
     stop: Arc<AtomicBool>,
-    task: JoinHandle<Ends>,
+    task: JoinHandle<JobCounts>,
 }
 
 /// How the jobs of callers ended.
 #[derive(Clone, Copy, Debug)]
-pub struct Ends {
+pub struct JobCounts {
     pub jobs: usize,
     pub complete: usize,
 }
 
 impl Callers {
     /// Starts a job each `period_ms`, through `entries` in turn.
-    pub fn start(world: &Arc<World>, entries: Vec<usize>, period_ms: u64) -> Self {
+    pub fn start(client: &Arc<RecordingClient>, entries: Vec<usize>, period_ms: u64) -> Self {
         let stop = Arc::new(AtomicBool::new(false));
         let task = tokio::spawn(call_steadily(
-            Arc::clone(world),
+            Arc::clone(client),
             entries,
             Duration::from_millis(period_ms),
             Arc::clone(&stop),
@@ -386,39 +386,39 @@
     }
 
     /// Starts no more jobs than [`MIN_JOBS`] and waits for the last word on each.
-    pub async fn finish(self) -> Ends {
+    pub async fn finish(self) -> JobCounts {
         self.stop.store(true, Relaxed);
         self.task.await.unwrap()
     }
 }
 
 async fn call_steadily(
-    world: Arc<World>,
+    client: Arc<RecordingClient>,
     entries: Vec<usize>,
     period: Duration,
     stop: Arc<AtomicBool>,
-) -> Ends {
+) -> JobCounts {
     let mut jobs = JoinSet::new();
     for number in 0_usize.. {
         if stop.load(Relaxed) && number >= MIN_JOBS {
             break;
         }
-        let world = Arc::clone(&world);
-        let entry = world.entry_after(entries[number % entries.len()], 0);
+        let client = Arc::clone(&client);
+        let entry = client.entry_after(entries[number % entries.len()], 0);
         let minted = (number / entries.len()).is_multiple_of(2);
         jobs.spawn(async move {
-            let Some(key) = world.fresh_key(entry, minted).await else {
+            let Some(key) = client.new_key(entry, minted).await else {
                 return false;
             };
-            let job = world.job(&key, 4, 40);
-            let complete = world.submit_until_final(entry, &job).await;
-            world.resubmit_through_others(entry, &job).await;
+            let job = client.job(&key, 4, 40);
+            let complete = client.submit_until_final(entry, &job).await;
+            client.resubmit_through_others(entry, &job).await;
             complete
         });
         sleep(period).await;
     }
     let ends = jobs.join_all().await;
-    Ends {
+    JobCounts {
         jobs: ends.len(),
         complete: ends.into_iter().filter(|complete| *complete).count(),
     }
@@ -426,9 +426,9 @@
 
 /// Answers counted by state or reason, to show that a fault was felt.
 #[derive(Clone, Debug, Default)]
-pub struct Tally(BTreeMap<String, usize>);
+pub struct OutcomeCounts(BTreeMap<String, usize>);
 
-impl Tally {
+impl OutcomeCounts {
     pub fn new(requests: &[HistoryEntry]) -> Self {
         let mut counts = BTreeMap::new();
         for entry in requests {
@@ -442,7 +442,7 @@
     }
 
     /// Answers with one of these reasons or states.
-    pub fn of(&self, names: &[&str]) -> usize {
+    pub fn count(&self, names: &[&str]) -> usize {
         names.iter().filter_map(|name| self.0.get(*name)).sum()
     }
 }
--- a/tests/testsuite/support/deployment.rs
+++ b/tests/testsuite/support/deployment.rs
@@ -25,7 +25,7 @@
 use trefoil_fakes::worker::{self, WorkerOptions, WorkersHandle};
 use trefoil_schema::settings::PeerSettings;
 
-use super::callers::{Tally, World};
+use super::callers::{OutcomeCounts, RecordingClient};
 use super::instance::{Instance, InstanceOptions};
 
 /// Longest wait for anything that must come.
@@ -42,7 +42,7 @@
 
 /// Size of a deployment.
 #[derive(Clone, Copy, Debug)]
-pub struct Size {
+pub struct DeploymentOptions {
     pub domains: usize,
     pub instances_per_domain: usize,
     pub workers_per_domain: usize,
@@ -50,7 +50,7 @@
     pub announce_ms: u64,
 }
 
-impl Default for Size {
+impl Default for DeploymentOptions {
     fn default() -> Self {
         Self {
             domains: 1,
@@ -74,8 +74,8 @@
     pub instances: Vec<Instance>,
     pub platform: PlatformHandle,
     pub workers: Vec<WorkersHandle>,
-    pub world: Arc<World>,
-    size: Size,
+    pub client: Arc<RecordingClient>,
+    size: DeploymentOptions,
     links: Vec<CrossLink>,
     _permit: SemaphorePermit<'static>,
 }
@@ -89,7 +89,7 @@
 
 impl Deployment {
     /// Starts all processes and waits until every one serves.
-    pub async fn start(size: Size) -> Self {
+    pub async fn start(size: DeploymentOptions) -> Self {
         let permit = RUNNING.acquire().await.unwrap();
         let own = own_address();
         let any = SocketAddr::from((own, 0));
@@ -108,7 +108,7 @@
         let entries = options.iter().map(|options| options.http_address);
         let domains = DOMAINS[..size.domains].to_vec();
         let mut deployment = Self {
-            world: Arc::new(World::new(entries.collect(), domains)),
+            client: Arc::new(RecordingClient::new(entries.collect(), domains)),
             instances: options.into_iter().map(Instance::start).collect(),
             platform,
             workers,
@@ -117,15 +117,15 @@
             _permit: permit,
         };
         deployment.declare().await;
-        deployment.list_instances().await;
-        deployment.until_served().await;
+        deployment.publish_instance_list().await;
+        deployment.wait_until_serving().await;
         deployment
     }
 
     async fn declare(&mut self) {
-        let address = self.world.entries[0];
-        until("the first instance lives", async || {
-            let reply = self.world.client.get(address, "/healthz").await;
+        let address = self.client.entries[0];
+        wait_until("the first instance lives", async || {
+            let reply = self.client.http.get(address, "/healthz").await;
             reply.is_ok_and(|reply| reply.status.is_success())
         })
         .await;
@@ -162,44 +162,44 @@
     }
 
     async fn put(&self, entry: usize, resource: &Value) {
-        let status = self.try_put(entry, resource).await;
+        let status = self.try_create(entry, resource).await;
         assert!((200..300).contains(&status), "{status}: {resource}");
     }
 
     /// Declares a resource that does not exist; the status answered.
-    pub async fn try_put(&self, entry: usize, resource: &Value) -> u16 {
-        self.declare_if(entry, resource, true).await
+    pub async fn try_create(&self, entry: usize, resource: &Value) -> u16 {
+        self.put_resource(entry, resource, true).await
     }
 
     /// Declares a resource anew, whatever it was.
-    pub async fn redeclare(&self, entry: usize, resource: &Value) {
-        let status = self.declare_if(entry, resource, false).await;
+    pub async fn replace_resource(&self, entry: usize, resource: &Value) {
+        let status = self.put_resource(entry, resource, false).await;
         assert_eq!(status, 200, "{resource}");
     }
 
-    async fn declare_if(&self, entry: usize, resource: &Value, absent: bool) -> u16 {
+    async fn put_resource(&self, entry: usize, resource: &Value, absent: bool) -> u16 {
         let kind = match resource["kind"].as_str().unwrap() {
             "team" => "teams",
             "service" => "services",
             _ => "backend-servers",
         };
         let path = format!("/v1/{kind}/{}", resource["name"].as_str().unwrap());
-        let address = self.world.entries[entry];
+        let address = self.client.entries[entry];
         let mut request = request(Method::PUT, address, &path, resource.to_string());
         if absent {
             let any = HeaderValue::from_static("*");
             request.headers_mut().insert(IF_NONE_MATCH, any);
         }
-        let reply = self.world.client.send(request).await;
+        let reply = self.client.http.send(request).await;
         reply.map_or(0, |reply| reply.status.as_u16())
     }
 
     /// Puts the running instances into the platform's list.
-    pub async fn list_instances(&self) {
+    pub async fn publish_instance_list(&self) {
         let mut entries = Vec::new();
         for (index, instance) in self.instances.iter().enumerate() {
             if instance.is_running() {
-                self.until_answers(index).await;
+                self.wait_until_responding(index).await;
                 let incarnation = self.incarnation(index).await;
                 let options = &instance.options;
                 entries.push(json!({
@@ -214,8 +214,8 @@
         self.platform.set_instances(entries);
     }
 
-    async fn until_answers(&self, entry: usize) {
-        until("an instance lives", async || {
+    async fn wait_until_responding(&self, entry: usize) {
+        wait_until("an instance lives", async || {
             self.status(entry).await.is_some()
         })
         .await;
@@ -223,8 +223,8 @@
 
     /// `/v1/status` of an instance, where it answers.
     pub async fn status(&self, entry: usize) -> Option<Value> {
-        let address = self.world.entries[entry];
-        let reply = self.world.client.get(address, "/v1/status").await.ok()?;
+        let address = self.client.entries[entry];
+        let reply = self.client.http.get(address, "/v1/status").await.ok()?;
         serde_json::from_slice(&reply.body).ok()
     }
 
@@ -238,14 +238,14 @@
 
     /// Whether `/readyz` says that an instance serves.
     pub async fn is_ready(&self, entry: usize) -> bool {
-        let address = self.world.entries[entry];
-        let reply = self.world.client.get(address, "/readyz").await;
+        let address = self.client.entries[entry];
+        let reply = self.client.http.get(address, "/readyz").await;
         reply.is_ok_and(|reply| reply.status.is_success())
     }
 
     /// Waits until one revision, `floor` or a later one, is in force at all
     /// running instances; it.
-    pub async fn settled_revision(&self, floor: u64) -> u64 {
+    pub async fn wait_for_common_revision(&self, floor: u64) -> u64 {
         let revisions = async || {
             let mut revisions = Vec::new();
             for (entry, instance) in self.instances.iter().enumerate() {
@@ -256,7 +256,7 @@
             }
             revisions
         };
-        until("one revision is in force everywhere", async || {
+        wait_until("one revision is in force everywhere", async || {
             let revisions = revisions().await;
             let newest = revisions[0];
             newest >= floor && revisions.iter().all(|revision| *revision == newest)
@@ -267,29 +267,33 @@
 
     /// Waits until every running instance is ready and serves fresh keys of
     /// every home, time and again.
-    pub async fn until_served(&self) {
+    pub async fn wait_until_serving(&self) {
         for index in 0..self.instances.len() {
             if self.instances[index].is_running() {
-                until("an instance is ready", async || self.is_ready(index).await).await;
+                wait_until("an instance is ready", async || self.is_ready(index).await).await;
             }
         }
         let running: Vec<usize> = (0..self.instances.len())
             .filter(|&index| self.instances[index].is_running())
             .collect();
-        self.until_served_at(&running).await;
+        self.wait_until_serving_at(&running).await;
     }
 
     /// Waits until fresh keys of each kind complete in a row through each of
     /// `entries`.
-    pub async fn until_served_at(&self, entries: &[usize]) {
+    pub async fn wait_until_serving_at(&self, entries: &[usize]) {
         const IN_A_ROW: usize = 6;
         for &entry in entries {
             let begun = Instant::now();
             let mut done = 0;
             while done < IN_A_ROW {
-                let key = self.world.fresh_key(entry, done.is_multiple_of(2)).await;
+                let key = self.client.new_key(entry, done.is_multiple_of(2)).await;
                 let answer = match key {
-                    Some(key) => self.world.submit(entry, &self.world.job(&key, 2, 5)).await,
+                    Some(key) => {
+                        self.client
+                            .submit(entry, &self.client.job(&key, 2, 5))
+                            .await
+                    }
                     None => Value::Null,
                 };
                 done = match answer["state"] == "complete" {
@@ -305,14 +309,14 @@
     }
 
     /// Holds back, or passes again, all that goes between failure domains.
-    pub fn cut_domains(&self, state: LinkState) {
+    pub fn set_domain_links(&self, state: LinkState) {
         for link in &self.links {
             link.relay.set_state(state);
         }
     }
 
     /// How many instances of another failure domain an instance calls silent.
-    pub async fn silent_elsewhere(&self, entry: usize) -> usize {
+    pub async fn silent_remote_instances(&self, entry: usize) -> usize {
         let domain = &self.instances[entry].options.domain;
         let status = self.status(entry).await.unwrap_or_default();
         let instances = status["instances"].as_array().cloned();
@@ -323,26 +327,26 @@
             .count()
     }
 
-    pub fn order_platform(&self, order: &FaultUpdate) {
+    pub fn update_platform_faults(&self, order: &FaultUpdate) {
         self.platform.update_faults(order);
     }
 
     /// Orders faults of one worker of each failure domain, or of all.
-    pub fn order_workers(&self, order: &WorkerFaultUpdate) {
+    pub fn update_worker_faults(&self, order: &WorkerFaultUpdate) {
         self.workers
             .iter()
             .for_each(|workers| workers.update_faults(order));
     }
 
     /// Instances of a failure domain.
-    pub fn of_domain(&self, domain: usize) -> Vec<usize> {
+    pub fn instances_of_domain(&self, domain: usize) -> Vec<usize> {
         let each = self.size.instances_per_domain;
         (domain * each..(domain + 1) * each).collect()
     }
 
     /// Names of the instances of a failure domain.
-    pub fn names(&self, domain: usize) -> Vec<String> {
-        let of_domain = self.of_domain(domain).into_iter();
+    pub fn instance_names(&self, domain: usize) -> Vec<String> {
+        let of_domain = self.instances_of_domain(domain).into_iter();
         of_domain
             .map(|index| self.instances[index].options.name.clone())
             .collect()
@@ -352,8 +356,8 @@
     pub fn key_owned_by(&self, owner: usize, minted: bool) -> String {
         let domain = owner / self.size.instances_per_domain;
         let name = &self.instances[owner].options.name;
-        self.world
-            .key_owned_by(DOMAINS[domain], &self.names(domain), name, minted)
+        self.client
+            .key_owned_by(DOMAINS[domain], &self.instance_names(domain), name, minted)
     }
 
     /// Whether `owner` owns a key while its whole failure domain serves.
@@ -361,8 +365,8 @@
         let domain = owner / self.size.instances_per_domain;
         let name = &self.instances[owner].options.name;
         let key = JobKey::parse(key).unwrap();
-        self.world
-            .owns(DOMAINS[domain], &self.names(domain), name, &key)
+        self.client
+            .owns(DOMAINS[domain], &self.instance_names(domain), name, &key)
     }
 
     pub fn starts(&self) -> Vec<TaskStart> {
@@ -375,14 +379,14 @@
     /// # Panics
     ///
     /// A promise is broken.
-    pub fn verdict(&self) -> Tally {
+    pub fn check_history(&self) -> OutcomeCounts {
         let starts = self.starts();
-        let requests = self.world.requests();
+        let requests = self.client.requests();
         let report = check(&requests, &starts);
         assert!(report.violations.is_empty(), "{:#?}", report.violations);
-        let false_words = self.world.false_request_verdicts(&starts);
+        let false_words = self.client.false_request_verdicts(&starts);
         assert!(false_words.is_empty(), "{false_words:#?}");
-        let tally = Tally::new(&requests);
+        let tally = OutcomeCounts::new(&requests);
         eprintln!(
             "{} requests, {} starts: {tally:?}",
             requests.len(),
@@ -393,7 +397,7 @@
 }
 
 /// Waits until `holds`.
-pub async fn until(what: &str, holds: impl AsyncFn() -> bool) {
+pub async fn wait_until(what: &str, holds: impl AsyncFn() -> bool) {
     let begun = Instant::now();
     while !holds().await {
         assert!(begun.elapsed() < SOON, "not reached: {what}");
@@ -401,7 +405,11 @@
     }
 }
 
-fn all_options(size: Size, own: Ipv4Addr, platform: SocketAddr) -> Vec<InstanceOptions> {
+fn all_options(
+    size: DeploymentOptions,
+    own: Ipv4Addr,
+    platform: SocketAddr,
+) -> Vec<InstanceOptions> {
     let domains: Vec<String> = DOMAINS[..size.domains]
         .iter()
         .map(|&domain| domain.to_owned())
--- a/tests/testsuite/support/instance.rs
+++ b/tests/testsuite/support/instance.rs
@@ -65,7 +65,7 @@
 
     /// Waits for the process to end by itself; its exit code, or `None` if it
     /// still runs after `limit`.
-    pub async fn exit_code(&mut self, limit: Duration) -> Option<i32> {
+    pub async fn wait_for_exit(&mut self, limit: Duration) -> Option<i32> {
         let begun = Instant::now();
         while begun.elapsed() < limit {
             let ended = self.child.as_mut().unwrap().try_wait().unwrap();
@@ -83,12 +83,12 @@
     }
 
     /// Stops the process where it stands.
-    pub fn freeze(&self) {
+    pub fn suspend(&self) {
         self.signal("STOP");
     }
 
     /// Lets a stopped process go on.
-    pub fn thaw(&self) {
+    pub fn resume(&self) {
         self.signal("CONT");
     }
 
--- a/tests/testsuite/support/pair.rs
+++ b/tests/testsuite/support/pair.rs
@@ -24,23 +24,23 @@
 const COMPLETE: &str = "trefoil_jobs_ended_total{end=\"complete\"";
 
 /// Two instances; dropping it ends both.
-pub struct Pair {
+pub struct InstancePair {
     pub entries: [SocketAddr; 2],
     pub peers: [SocketAddr; 2],
     /// Own jobs at the start that were refused, before keys had settled owners.
-    pub probes_refused: usize,
+    pub setup_jobs_refused: usize,
     client: Client,
     servers: Vec<JoinHandle<()>>,
     _platform: PlatformHandle,
 }
 
-impl Drop for Pair {
+impl Drop for InstancePair {
     fn drop(&mut self) {
         self.servers.iter().for_each(JoinHandle::abort);
     }
 }
 
-impl Pair {
+impl InstancePair {
     /// Starts both and waits until they are ready; `worker` is declared for
     /// the service `pay`.
     pub async fn start(worker: SocketAddr, telemetry: impl Fn(&Settings) -> Telemetry) -> Self {
@@ -62,13 +62,13 @@
             entries,
             peers,
             client: Client::default(),
-            probes_refused: 0,
+            setup_jobs_refused: 0,
             servers,
             _platform: platform,
         };
         pair.declare(worker).await;
         pair.until_ready().await;
-        pair.probes_refused = pair.until_settled().await;
+        pair.setup_jobs_refused = pair.until_settled().await;
         pair
     }
 
@@ -100,16 +100,16 @@
     /// Waits until both own keys and know the worker.
     async fn until_ready(&self) {
         for entry in self.entries {
-            self.until(entry, "/readyz", |text| text.contains("\"ready\":true"))
+            self.wait_for_response(entry, "/readyz", |text| text.contains("\"ready\":true"))
                 .await;
             let revision = "/v1/backend-servers/worker-1";
-            self.until(entry, revision, |text| text.contains("2 of 2 live"))
+            self.wait_for_response(entry, revision, |text| text.contains("2 of 2 live"))
                 .await;
         }
     }
 
     /// Reads `path` until it answers as wished.
-    pub async fn until(
+    pub async fn wait_for_response(
         &self,
         entry: SocketAddr,
         path: &str,
@@ -129,7 +129,7 @@
     }
 
     /// Mints a key at the first instance.
-    pub async fn key(&self) -> String {
+    pub async fn mint_key(&self) -> String {
         let minted = self.client.post(self.entries[0], "/v1/keys?count=1", "");
         let body: Value = serde_json::from_slice(&minted.await.unwrap().body).unwrap();
         body["keys"][0].as_str().unwrap().to_owned()
@@ -182,10 +182,10 @@
     async fn until_settled(&self) -> usize {
         let mut refused = 0;
         for _ in 0..STEPS_MAX {
-            let key = self.key().await;
+            let key = self.mint_key().await;
             let reply = self.try_submit(self.entries[0], &key, "", json!({})).await;
             refused += usize::from(!reply.status.is_success());
-            let pages = [self.page(0).await, self.page(1).await];
+            let pages = [self.metrics_page(0).await, self.metrics_page(1).await];
             let has_run = |page: &String| {
                 let mut lines = page.lines();
                 lines.any(|line| line.starts_with(COMPLETE) && !line.ends_with(" 0"))
@@ -199,8 +199,9 @@
     }
 
     /// The metrics page of an instance.
-    pub async fn page(&self, index: usize) -> String {
-        self.until(self.entries[index], "/metrics", |_| true).await
+    pub async fn metrics_page(&self, index: usize) -> String {
+        self.wait_for_response(self.entries[index], "/metrics", |_| true)
+            .await
     }
 }
 
--- a/tests/testsuite/telemetry_peers.rs
+++ b/tests/testsuite/telemetry_peers.rs
@@ -7,7 +7,7 @@
 use trefoilbay::util::telemetry::Telemetry;
 use trefoilbay::util::telemetry::trace::TRACEPARENT;
 
-use crate::support::pair::Pair;
+use crate::support::pair::InstancePair;
 use crate::telemetry::{Kept, SAMPLED, UNSAMPLED};
 
 /// Hops of a job that its owner got from another instance, outermost first.
@@ -65,16 +65,16 @@
     let worker = tokio::spawn(poem::Server::new_with_acceptor(acceptor).run(worker()));
     let kept = Kept::default();
     let telemetry = |settings: &_| Telemetry::with_traces(settings, kept.traces(0)).unwrap();
-    let pair = Pair::start(address, telemetry).await;
+    let pair = InstancePair::start(address, telemetry).await;
 
-    let key = pair.key().await;
+    let key = pair.mint_key().await;
     for entry in pair.entries {
         pair.submit(entry, &key, UNSAMPLED).await;
     }
     assert!(kept.spans.lock().unwrap().is_empty());
     for _ in 0..KEYS_MAX {
         kept.spans.lock().unwrap().clear();
-        let key = pair.key().await;
+        let key = pair.mint_key().await;
         let answer = pair.submit(pair.entries[0], &key, SAMPLED).await;
         let spans = kept.spans.lock().unwrap().clone();
         let chain = chain(&spans, &SAMPLED[36..52]);
