--- a/crates/core/examples/engine_load.rs
+++ b/crates/core/examples/engine_load.rs
@@ -1,5 +1,5 @@
-//! Prints response time over ideal, refusals and wasted messages in virtual
-//! time, for each policy and load.
+//! Simulates the engine in virtual time, and prints its response times relative to
+//! the ideal, refusals and wasted messages, for each policy and load.
 //!
 //! `cargo run --release -p trefoil-core --example engine_load [SEED]`
 
@@ -10,15 +10,16 @@
 use trefoil_core::engine::{EngineSettings, QueueOrder};
 use trefoil_schema::settings::PlacementPolicy;
 
-/// Retries that the baselines need, which find busy workers by refusals.
+/// Attempts allowed under the baseline policies, which detect busy workers by their
+/// refusals.
 const BASELINE_ATTEMPTS_MAX: u32 = 1000;
-/// Share of retries for the same reason.
+/// Retry budget of the baseline policies, high for the same reason.
 const BASELINE_RETRY_PERCENT: u32 = 10_000;
 
 fn main() {
-    let seed = std::env::args()
-        .nth(1)
-        .map_or(1, |seed| seed.parse().expect("the seed is a whole number"));
+    let seed = std::env::args().nth(1).map_or(1, |seed| {
+        seed.parse().expect("SEED must be a non-negative integer")
+    });
     println!("seed {seed}");
     println!(
         "{:40} {:>6} {:>7} {:>7} {:>7} {:>7} {:>7} {:>7} {:>7} {:>7} {:>7}",
@@ -36,7 +37,7 @@
     );
     for offered in [0.5, 0.8, 0.95] {
         for (name, engine) in policies() {
-            print(
+            print_outcome(
                 name,
                 &Load {
                     seed,
@@ -50,7 +51,7 @@
     for offered in [0.8, 0.95] {
         for (name, engine) in policies() {
             let name = format!("{name}, 1 of 50 slow");
-            print(
+            print_outcome(
                 &name,
                 &Load {
                     seed,
@@ -63,7 +64,7 @@
         }
         for (name, engine) in policies() {
             let name = format!("{name}, 1 of 50 failing");
-            print(
+            print_outcome(
                 &name,
                 &Load {
                     seed,
@@ -83,13 +84,13 @@
             engine,
             ..Load::default()
         };
-        print(name, &load);
+        print_outcome(name, &load);
     }
-    flood(seed);
+    print_greedy_team_load(seed);
 }
 
-/// One team submits four fifths of the jobs at twice the capacity.
-fn flood(seed: u64) {
+/// Simulates overload at twice the capacity, where one team submits 80% of the jobs.
+fn print_greedy_team_load(seed: u64) {
     let load = Load {
         seed,
         offered: 2.0,
@@ -98,14 +99,14 @@
         ..Load::default()
     };
     let outcome = run(&load);
-    let (greedy, others) = outcome.by_team.split_first().expect("has teams");
+    let (greedy, others) = outcome
+        .by_team
+        .split_first()
+        .expect("there is at least one team");
     let submitted: u64 = others.iter().map(|team| team.0).sum();
     let refused: u64 = others.iter().map(|team| team.1).sum();
-    println!(
-        "one team floods: it is refused {} of {} jobs",
-        greedy.1, greedy.0
-    );
-    println!("the others are refused {refused} of {submitted}");
+    println!("greedy team: {} of {} jobs refused", greedy.1, greedy.0);
+    println!("other teams: {refused} of {submitted} jobs refused");
     println!(
         "goodput {:.3}, late {:.4}",
         outcome.goodput(&load),
@@ -115,17 +116,17 @@
 
 fn policies() -> Vec<(&'static str, EngineSettings)> {
     let owned = EngineSettings::default();
-    let arrival = EngineSettings {
+    let fifo = EngineSettings {
         order: QueueOrder::Fifo,
         ..owned.clone()
     };
-    let fifo = EngineSettings {
+    let fifo_without_admission = EngineSettings {
         admission: false,
-        ..arrival
+        ..fifo
     };
     vec![
         ("owned slots", owned.clone()),
-        ("owned slots, arrival, all in", fifo),
+        ("owned slots, FIFO, no admission", fifo_without_admission),
         ("two choices", baseline(PlacementPolicy::TwoChoices)),
         ("random", baseline(PlacementPolicy::Random)),
     ]
@@ -139,7 +140,7 @@
     engine
 }
 
-fn print(name: &str, load: &Load) {
+fn print_outcome(name: &str, load: &Load) {
     let outcome: Outcome = run(load);
     println!(
         "{name:40} {:6.2} {:7.2} {:7.2} {:7.2} {:7.2} {:7.4} {:7.4} {:7.4} {:7.4} {:7.3}",
--- a/crates/core/examples/engine_rate.rs
+++ b/crates/core/examples/engine_rate.rs
@@ -1,9 +1,9 @@
-//! Measures the engine alone: task starts a second on one and several threads,
-//! and memory for each queued task and remembered key.
+//! Benchmarks the engine: task starts per second on one or more threads, and memory
+//! per queued task and per remembered key.
 //!
 //! `cargo run --release -p trefoil-core --example engine_rate [CASE]`, where
-//! CASE is `rate`, `key`, `task` or `tasks`; the memory cases want a process of
-//! their own, since memory freed by one would hide what the next takes.
+//! CASE is `rate`, `key`, `task` or `tasks`. Each memory case needs a separate
+//! process, because freed memory would be reused without showing up in the result.
 
 #[path = "../tests/engine_support/mod.rs"]
 mod engine_support;
@@ -23,67 +23,66 @@
 use trefoil_core::time::Now;
 use trefoil_schema::resources::ServiceSpec;
 
-/// Workers of each service.
-const WORKERS: usize = 50;
-/// Slots of each worker.
-const SLOTS: u32 = 8;
-/// Jobs in work for each service.
-const JOBS_IN_WORK: i64 = 100;
-/// Time measured for each case.
-const TIME: Duration = Duration::from_secs(2);
-/// Longest time a job has; nothing is late here.
+const WORKERS_PER_SERVICE: usize = 50;
+const SLOTS_PER_WORKER: u32 = 8;
+/// Number of jobs per service that the threads keep in flight.
+const JOBS_IN_FLIGHT: i64 = 100;
+const DURATION_PER_CASE: Duration = Duration::from_secs(2);
+/// Timeout of the jobs, long enough that none reaches it.
 const TIMEOUT_MS: u64 = 300_000;
-/// Tasks queued for the memory figure.
 const QUEUED_TASKS: u64 = 1_000_000;
-/// Keys remembered for the memory figure.
 const REMEMBERED_KEYS: u64 = 200_000;
-/// Bytes of a page, in which the kernel counts memory.
+/// Size of the pages counted in `/proc/self/statm`.
 const PAGE_BYTES: u64 = 4096;
 
 fn main() {
     let case = std::env::args().nth(1).unwrap_or_default();
     match case.as_str() {
-        "key" => println!("bytes a remembered key: {}", bytes_a_key()),
-        "task" => println!("bytes a queued task, jobs of 1: {}", bytes_a_task(1)),
-        "tasks" => println!("bytes a queued task, jobs of 100: {}", bytes_a_task(100)),
-        _ => rates(),
+        "key" => println!("bytes per remembered key: {}", bytes_per_key()),
+        "task" => println!("bytes per queued task, jobs of 1: {}", bytes_per_task(1)),
+        "tasks" => println!(
+            "bytes per queued task, jobs of 100: {}",
+            bytes_per_task(100)
+        ),
+        _ => print_rates(),
     }
 }
 
-fn rates() {
-    println!("{:44} {:>12} {:>12}", "case", "starts/s", "us a start");
+fn print_rates() {
+    println!("{:44} {:>12} {:>12}", "case", "starts/s", "us/start");
     for tasks in [1, 10, 100, 1000] {
         let name = format!("1 thread, 1 service, jobs of {tasks}");
-        report(&name, 1, rate(1, 1, tasks));
+        print_rate(&name, 1, starts_per_second(1, 1, tasks));
     }
     for threads in [2, 4] {
         let name = format!("{threads} threads, 1 service, jobs of 10");
-        report(&name, threads, rate(threads, 1, 10));
+        print_rate(&name, threads, starts_per_second(threads, 1, 10));
         let name = format!("{threads} threads, {threads} services, jobs of 10");
-        report(&name, threads, rate(threads, threads, 10));
+        print_rate(&name, threads, starts_per_second(threads, threads, 10));
     }
 }
 
-fn report(name: &str, threads: usize, starts_per_s: f64) {
+fn print_rate(name: &str, threads: usize, starts_per_s: f64) {
     let us = threads as f64 * 1e6 / starts_per_s;
     println!("{name:44} {starts_per_s:12.0} {us:12.2}");
 }
 
-fn declaration(services: usize) -> ConfigSnapshot {
-    let mut all = config(WORKERS, SLOTS);
-    let workers: Vec<_> = all.backend_servers.values().cloned().collect();
+fn declarations(services: usize) -> ConfigSnapshot {
+    let mut config = config(WORKERS_PER_SERVICE, SLOTS_PER_WORKER);
+    let workers: Vec<_> = config.backend_servers.values().cloned().collect();
     for service in 0..services {
         let name = format!("service-{service}");
-        all.services
+        config
+            .services
             .insert(name.as_str().into(), declared(ServiceSpec::default()));
         for (number, worker) in workers.iter().enumerate() {
             let mut worker = worker.clone();
             worker.spec.service = name.clone();
             let name = format!("{name}-{number}");
-            all.backend_servers.insert(name.as_str().into(), worker);
+            config.backend_servers.insert(name.as_str().into(), worker);
         }
     }
-    all
+    config
 }
 
 fn engine(services: usize) -> Engine {
@@ -93,7 +92,7 @@
     let engine = Engine::new(settings);
     engine.set_admission_limit(u64::MAX);
     engine.set_domain_members(now(0), "a", &["a".to_owned()], &mut Vec::new());
-    engine.set_config(now(0), &declaration(services), &mut Vec::new());
+    engine.set_config(now(0), &declarations(services), &mut Vec::new());
     engine
 }
 
@@ -104,45 +103,48 @@
     }
 }
 
-fn rate(threads: usize, services: usize, tasks: usize) -> f64 {
+fn starts_per_second(threads: usize, services: usize, tasks: usize) -> f64 {
     let engine = Arc::new(engine(services));
-    let in_work: Vec<_> = (0..services).map(|_| Arc::new(AtomicI64::new(0))).collect();
+    let in_flight: Vec<_> = (0..services).map(|_| Arc::new(AtomicI64::new(0))).collect();
     let started = Instant::now();
-    let drivers: Vec<_> = (0..threads)
+    let generators: Vec<_> = (0..threads)
         .map(|number| {
             let engine = Arc::clone(&engine);
-            let in_work = Arc::clone(&in_work[number % services]);
+            let in_flight = Arc::clone(&in_flight[number % services]);
             let service = format!("service-{}", number % services);
-            thread::spawn(move || Driver::new(&engine, number, &service, tasks, in_work).drive())
+            thread::spawn(move || {
+                LoadGenerator::new(&engine, number, &service, tasks, in_flight).run()
+            })
         })
         .collect();
-    let starts: u64 = drivers
+    let starts: u64 = generators
         .into_iter()
-        .map(|driver| driver.join().expect("no panic"))
+        .map(|generator| generator.join().expect("load generators do not panic"))
         .sum();
     starts as f64 / started.elapsed().as_secs_f64()
 }
 
-/// One thread that submits jobs and answers tasks at once.
-struct Driver<'a> {
+/// Load generator of one thread, which submits jobs and completes each task as soon as
+/// it starts.
+struct LoadGenerator<'a> {
     engine: &'a Engine,
     number: usize,
     service: Arc<str>,
     tasks: usize,
     submitted: u64,
-    /// Jobs in work for the service, of all threads.
-    in_work: Arc<AtomicI64>,
+    /// Number of jobs of the service in flight, over all threads.
+    in_flight: Arc<AtomicI64>,
     out: Vec<Command>,
-    placed: VecDeque<TaskId>,
+    started_tasks: VecDeque<TaskId>,
 }
 
-impl<'a> Driver<'a> {
+impl<'a> LoadGenerator<'a> {
     fn new(
         engine: &'a Engine,
         number: usize,
         service: &str,
         tasks: usize,
-        in_work: Arc<AtomicI64>,
+        in_flight: Arc<AtomicI64>,
     ) -> Self {
         Self {
             engine,
@@ -150,33 +152,34 @@
             service: service.into(),
             tasks,
             submitted: 0,
-            in_work,
+            in_flight,
             out: Vec::new(),
-            placed: VecDeque::new(),
+            started_tasks: VecDeque::new(),
         }
     }
 
-    fn drive(mut self) -> u64 {
+    /// Runs for [`DURATION_PER_CASE`] and returns the number of task starts.
+    fn run(mut self) -> u64 {
         let started = Instant::now();
         let mut starts = 0;
         let mut now_ms = 1;
-        while started.elapsed() < TIME {
+        while started.elapsed() < DURATION_PER_CASE {
             now_ms += 1;
-            for _ in self.in_work.load(Ordering::Relaxed)..JOBS_IN_WORK {
+            for _ in self.in_flight.load(Ordering::Relaxed)..JOBS_IN_FLIGHT {
                 self.submit(now(now_ms));
             }
             for _ in 0..100 {
-                let Some(task) = self.placed.pop_front() else {
+                let Some(task) = self.started_tasks.pop_front() else {
                     break;
                 };
                 starts += 1;
                 let outcome = TaskOutcome::Done(Bytes::new());
                 self.engine
                     .task_finished(now(now_ms), task, outcome, &mut self.out);
-                self.take_commands();
+                self.process_commands();
             }
             self.engine.tick(now(now_ms), &mut self.out);
-            self.take_commands();
+            self.process_commands();
         }
         starts
     }
@@ -189,27 +192,27 @@
             service: Arc::clone(&self.service),
             ..submission(&key, self.tasks, TIMEOUT_MS)
         };
-        self.in_work.fetch_add(1, Ordering::Relaxed);
+        self.in_flight.fetch_add(1, Ordering::Relaxed);
         self.engine
             .submit(now, submission, WaiterId(random), true, &mut self.out);
-        self.take_commands();
+        self.process_commands();
     }
 
-    fn take_commands(&mut self) {
+    fn process_commands(&mut self) {
         for command in self.out.drain(..) {
             match command {
-                Command::StartTask { task, .. } => self.placed.push_back(task),
-                // What ends here may be another thread's job.
+                Command::StartTask { task, .. } => self.started_tasks.push_back(task),
+                // The job may have been submitted by another thread.
                 Command::Answer { answer, .. } => {
                     assert!(matches!(answer, JobAnswer::Known { .. }), "{answer:?}");
-                    self.in_work.fetch_sub(1, Ordering::Relaxed);
+                    self.in_flight.fetch_sub(1, Ordering::Relaxed);
                 }
             }
         }
     }
 }
 
-fn bytes_a_task(tasks: usize) -> u64 {
+fn bytes_per_task(tasks: usize) -> u64 {
     let engine = engine(1);
     let mut out = Vec::new();
     let jobs = QUEUED_TASKS / tasks as u64;
@@ -224,7 +227,7 @@
     resident_bytes().saturating_sub(before) / queued
 }
 
-fn bytes_a_key() -> u64 {
+fn bytes_per_key() -> u64 {
     let engine = engine(1);
     let mut out = Vec::new();
     let before = resident_bytes();
@@ -243,7 +246,10 @@
 }
 
 fn resident_bytes() -> u64 {
-    let statm = fs::read_to_string("/proc/self/statm").expect("the kernel counts memory");
-    let pages = statm.split_whitespace().nth(1).expect("has a second field");
-    pages.parse::<u64>().expect("is a number") * PAGE_BYTES
+    let statm = fs::read_to_string("/proc/self/statm").expect("/proc/self/statm is readable");
+    let pages = statm
+        .split_whitespace()
+        .nth(1)
+        .expect("statm has a second field");
+    pages.parse::<u64>().expect("page count is a number") * PAGE_BYTES
 }
