--- a/tests/testsuite/main.rs
+++ b/tests/testsuite/main.rs
@@ -1,4 +1,4 @@
-//! End-to-end tests by feature, each a small project of real processes.
+//! End-to-end tests, one module per feature.
 
 mod api_page;
 mod caller;
--- a/tests/testsuite/support/api_stub.rs
+++ b/tests/testsuite/support/api_stub.rs
@@ -1,6 +1,5 @@
-//! An instance's HTTP API for tests of the command line: the real operators'
-//! routes on a stand-in of the platform's store, and stand-ins for the callers'
-//! routes, with faults on order.
+//! Stub of an instance's HTTP API for tests of the command line: the real
+//! operator routes on a fake platform store, and stubs of the caller routes.
 
 use std::future::pending;
 use std::net::SocketAddr;
@@ -28,10 +27,10 @@
 use trefoilbay::sources::platform::PlatformStore;
 use trefoilbay::sources::platform::etcd::EtcdJson;
 
-/// The only key it mints.
+/// The key that the stub returns from `/v1/keys`.
 pub const MINTED_KEY: &str = "01890a5d-ac96-8abc-8000-000000000001";
 
-/// A running instance's API; ends when dropped.
+/// A running stub; stops serving when dropped.
 pub struct ApiStub {
     pub address: String,
     pub state: Arc<Mutex<StubState>>,
@@ -39,24 +38,24 @@
     server: JoinHandle<std::io::Result<()>>,
 }
 
-/// What it was asked and how it misbehaves.
+/// Recorded requests and configured faults.
 #[derive(Default)]
 pub struct StubState {
-    /// What it sees; the configuration in force at itself alone when not set.
+    /// Response to `/v1/status`; by default, the stub is the only instance.
     pub status: Option<StatusResponse>,
-    /// Let a change take effect, then never answer.
+    /// Apply writes, but never respond to them.
     pub withhold_responses: bool,
     /// Refuse jobs with this status, reason, verdict and request verdict.
     pub refuse_jobs: Option<(u16, &'static str, Verdict, Verdict)>,
-    /// Change requests, as METHOD PATH, in order.
+    /// Requests other than GET, as METHOD PATH, in order.
     pub write_requests: Vec<String>,
-    /// Keys of the jobs submitted, in order.
+    /// Idempotency keys of the submissions, in order.
     pub submitted_keys: Vec<String>,
-    /// Told once it is to stop.
+    /// Notified to shut the server down.
     pub shutdown: Arc<Notify>,
 }
 
-type Shared = Arc<Mutex<StubState>>;
+type SharedState = Arc<Mutex<StubState>>;
 
 impl ApiStub {
     pub async fn start() -> Self {
@@ -68,9 +67,9 @@
             .into_acceptor()
             .await
             .expect("a free port");
-        let local = acceptor.local_addr().remove(0);
-        let address = local.as_socket_addr().expect("TCP").to_string();
-        let state = Shared::default();
+        let bound_address = acceptor.local_addr().remove(0);
+        let address = bound_address.as_socket_addr().expect("TCP").to_string();
+        let state = SharedState::default();
         let shutdown = state.lock().unwrap().shutdown.clone();
         let signal = async move { shutdown.notified().await };
         let routes = routes(&platform, &state);
@@ -84,7 +83,7 @@
         }
     }
 
-    /// Changes how it behaves.
+    /// Updates the stub's state.
     pub fn set(&self, change: impl FnOnce(&mut StubState)) {
         change(&mut self.state.lock().unwrap());
     }
@@ -96,40 +95,40 @@
     }
 }
 
-fn routes(platform: &PlatformHandle, state: &Shared) -> impl IntoEndpoint + use<> {
+fn routes(platform: &PlatformHandle, state: &SharedState) -> impl IntoEndpoint + use<> {
     let route = Route::new()
         .at("/v1/keys", post(mint_keys))
         .at("/v1/jobs", post(submit))
-        .at("/v1/jobs/:key", get(one_job).delete(one_job))
+        .at("/v1/jobs/:key", get(job_status).delete(job_status))
         .at("/v1/drain", post(drain));
     operator::add_routes(route, operator_context(platform, state))
         .data(state.clone())
         .around({
             let state = state.clone();
-            move |routes, request| record(routes, request, state.clone())
+            move |routes, request| record_writes(routes, request, state.clone())
         })
 }
 
-/// Records a change and, when so ordered, keeps back the answer.
-async fn record<E: Endpoint>(
+/// Records writes, and withholds their responses if configured.
+async fn record_writes<E: Endpoint>(
     routes: Arc<E>,
     request: Request,
-    state: Shared,
+    state: SharedState,
 ) -> poem::Result<Response> {
-    let changes = request.method() != "GET";
-    if changes {
-        let title = format!("{} {}", request.method(), request.uri());
-        state.lock().unwrap().write_requests.push(title);
+    let is_write = request.method() != "GET";
+    if is_write {
+        let line = format!("{} {}", request.method(), request.uri());
+        state.lock().unwrap().write_requests.push(line);
     }
     let response = routes.get_response(request).await;
-    let swallow = changes && state.lock().unwrap().withhold_responses;
-    if swallow {
+    let withhold = is_write && state.lock().unwrap().withhold_responses;
+    if withhold {
         pending::<()>().await;
     }
     Ok(response)
 }
 
-fn operator_context(platform: &PlatformHandle, state: &Shared) -> OperatorContext {
+fn operator_context(platform: &PlatformHandle, state: &SharedState) -> OperatorContext {
     let settings = Settings {
         platform: PlatformSettings {
             address: platform.address.to_string(),
@@ -146,8 +145,8 @@
     let status = {
         let (config, state) = (config.clone(), state.clone());
         move || {
-            let ordered = state.lock().unwrap().status.clone();
-            ordered.unwrap_or_else(|| {
+            let configured = state.lock().unwrap().status.clone();
+            configured.unwrap_or_else(|| {
                 let revision = config.current().revision;
                 let own = instance_status("a", InstanceStateName::Serving, revision, 0);
                 status_response("a", revision, vec![own])
@@ -163,8 +162,8 @@
     }
 }
 
-/// An address that refuses connections; bound and not listened on, so that no
-/// other test gets it.
+/// An address that refuses connections. The socket is bound without listening,
+/// so that no other test is assigned the same port.
 pub struct ClosedAddress {
     pub address: String,
     _socket: TcpSocket,
@@ -183,12 +182,11 @@
     }
 }
 
-/// News of one instance.
 pub fn instance_status(
     name: &str,
     state: InstanceStateName,
     revision: u64,
-    heard_ms: u64,
+    last_heard_ms: u64,
 ) -> InstanceStatus {
     InstanceStatus {
         instance: name.to_owned(),
@@ -196,11 +194,11 @@
         failure_domain: "portmore".to_owned(),
         state,
         config_revision: revision,
-        heard_ms,
+        heard_ms: last_heard_ms,
     }
 }
 
-/// What `name` sees.
+/// A `/v1/status` response from the instance `name`.
 pub fn status_response(
     name: &str,
     revision: u64,
@@ -221,7 +219,11 @@
 }
 
 #[handler]
-async fn submit(request: &Request, state: Data<&Shared>, Json(job): Json<JobRequest>) -> Response {
+async fn submit(
+    request: &Request,
+    state: Data<&SharedState>,
+    Json(job): Json<JobRequest>,
+) -> Response {
     let key = request.header("idempotency-key").expect("a key").to_owned();
     let (refusal, replayed) = {
         let mut state = state.lock().unwrap();
@@ -245,9 +247,9 @@
     .into_response()
 }
 
-/// A job in the state that the request leaves it in.
+/// Reports the job as cancelled after DELETE, and as running otherwise.
 #[handler]
-fn one_job(request: &Request, Path(key): Path<String>) -> Json<Value> {
+fn job_status(request: &Request, Path(key): Path<String>) -> Json<Value> {
     let state = if request.method() == "DELETE" {
         "cancelled"
     } else {
@@ -259,9 +261,9 @@
     }))
 }
 
-/// Ends the stand-in, connections of later requests first.
+/// Starts a graceful shutdown of the stub.
 #[handler]
-fn drain(state: Data<&Shared>) -> StatusCode {
+fn drain(state: Data<&SharedState>) -> StatusCode {
     state.lock().unwrap().shutdown.notify_one();
     StatusCode::ACCEPTED
 }
--- a/tests/testsuite/support/callers.rs
+++ b/tests/testsuite/support/callers.rs
@@ -1,5 +1,5 @@
-//! Callers: jobs submitted, and submitted again with the same key through
-//! every instance until a final word; every request is recorded.
+//! Test callers, which retry each job under the same key through all instances
+//! until its response is final. Every request is recorded.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -20,20 +20,21 @@
 use super::deployment::{SERVICE, TEAM};
 
 const KEY_HEADER: HeaderName = HeaderName::from_static("idempotency-key");
-/// Time that a job has.
 const DEADLINE_MS: u64 = 2_500;
-/// Longest wait for an answer: the deadline and the entry's grace are shorter.
-const CALL_LIMIT: Duration = Duration::from_secs(8);
-/// How long a caller goes on until it has a final word.
-const CALLER_LIMIT: Duration = Duration::from_secs(20);
-const PAUSE: Duration = Duration::from_millis(25);
-/// Jobs that steady callers start at the least, however soon a test ends: a
-/// third of all keys have one owner, and its loss may take several in a row.
-const MIN_JOBS: usize = 40;
-/// Reason recorded where no answer came.
+/// Timeout of a request; longer than the deadline plus the time that an entry
+/// waits beyond it.
+const CALL_TIMEOUT: Duration = Duration::from_secs(8);
+/// Longest time to retry a job.
+const JOB_RETRY_TIMEOUT: Duration = Duration::from_secs(20);
+/// Least time between retries, and between readiness checks.
+const RETRY_INTERVAL: Duration = Duration::from_millis(25);
+/// Least number of jobs that [`Callers`] submit. Enough that some succeed even
+/// if one of three owners is lost with several jobs in a row.
+const JOBS_MIN: usize = 40;
+/// Reason recorded for a request without a response.
 const LOST: &str = "lost";
 const NOT_RUN: &str = "not_run";
-/// Refusals after which the same key is never served.
+/// Reasons after which retrying the same key cannot succeed.
 const FINAL_REASONS: [&str; 8] = [
     "owner_lost",
     "cancelled",
@@ -45,7 +46,7 @@
     "result_dropped",
 ];
 
-/// One job as its caller holds it.
+/// A job to submit.
 #[derive(Clone, Debug)]
 pub struct Job {
     pub key: String,
@@ -53,30 +54,29 @@
     body: String,
 }
 
-/// A recorded request, with what the answer said of it alone.
+/// A recorded request, with the verdict on this request alone.
 #[derive(Clone, Debug)]
-struct Recorded {
+struct RecordedRequest {
     entry: HistoryEntry,
     request_verdict: String,
 }
 
-/// What all callers share.
+/// HTTP client that submits jobs and records every request.
 pub struct RecordingClient {
     pub entries: Vec<SocketAddr>,
     pub http: Client,
     domains: Vec<String>,
-    recorded: Mutex<Vec<Recorded>>,
-    /// Entries that a balancer leaves out; none without one.
-    left_out: Mutex<BTreeSet<usize>>,
+    recorded: Mutex<Vec<RecordedRequest>>,
+    /// Indexes of the entries that get no new requests.
+    excluded: Mutex<BTreeSet<usize>>,
 }
 
-/// Leaves out entries that are not ready, as the users' balancer does, until
-/// dropped.
+/// Load balancer that excludes entries that are not ready; stops when dropped.
 pub struct LoadBalancer(JoinHandle<()>);
 
 impl LoadBalancer {
     pub fn start(client: &Arc<RecordingClient>) -> Self {
-        Self(tokio::spawn(balance(Arc::clone(client))))
+        Self(tokio::spawn(poll_readiness(Arc::clone(client))))
     }
 }
 
@@ -86,19 +86,19 @@
     }
 }
 
-/// Reads readiness over connections of its own, one a look.
-async fn balance(client: Arc<RecordingClient>) {
+/// Polls `/readyz` of every entry, each time over a new connection.
+async fn poll_readiness(client: Arc<RecordingClient>) {
     loop {
         for (entry, address) in client.entries.iter().enumerate() {
             let reply = Client::default().get(*address, "/readyz").await;
             let ready = reply.is_ok_and(|reply| reply.status.is_success());
-            let mut left_out = client.left_out.lock().unwrap();
+            let mut excluded = client.excluded.lock().unwrap();
             match ready {
-                true => left_out.remove(&entry),
-                false => left_out.insert(entry),
+                true => excluded.remove(&entry),
+                false => excluded.insert(entry),
             };
         }
-        sleep(PAUSE).await;
+        sleep(RETRY_INTERVAL).await;
     }
 }
 
@@ -109,36 +109,36 @@
             http: Client::default(),
             domains: domains.into_iter().map(str::to_owned).collect(),
             recorded: Mutex::default(),
-            left_out: Mutex::default(),
+            excluded: Mutex::default(),
         }
     }
 
-    /// Sends new requests of callers to other entries than this one.
+    /// Excludes only `entry` from new requests; none for `None`.
     pub fn exclude_entry(&self, entry: Option<usize>) {
-        *self.left_out.lock().unwrap() = entry.into_iter().collect();
+        *self.excluded.lock().unwrap() = entry.into_iter().collect();
     }
 
-    /// The entry `turn` after `entry`, or the next that is not left out.
-    fn entry_after(&self, entry: usize, turn: usize) -> usize {
-        let left_out = self.left_out.lock().unwrap();
+    /// The entry `offset` places after `entry`, or the next that is not excluded.
+    fn available_entry(&self, entry: usize, offset: usize) -> usize {
+        let excluded = self.excluded.lock().unwrap();
         let count = self.entries.len();
-        let mut entries = (0..count).map(|more| (entry + turn + more) % count);
-        let kept = entries.find(|entry| !left_out.contains(entry));
-        kept.unwrap_or((entry + turn) % count)
+        let mut entries = (0..count).map(|skipped| (entry + offset + skipped) % count);
+        let available = entries.find(|entry| !excluded.contains(entry));
+        available.unwrap_or((entry + offset) % count)
     }
 
-    /// A job of `tasks` tasks that run `run_ms` each.
+    /// A job of `tasks` tasks that each run for `run_ms` milliseconds.
     pub fn job(&self, key: &str, tasks: usize, run_ms: u64) -> Job {
-        self.marked_job(key, "#", tasks, run_ms)
+        self.job_with_separator(key, "#", tasks, run_ms)
     }
 
-    /// As [`Self::job`], with another body under the same key.
+    /// Like [`Self::job`], but with a different body.
     pub fn job_with_other_body(&self, key: &str, tasks: usize, run_ms: u64) -> Job {
-        self.marked_job(key, "#other#", tasks, run_ms)
+        self.job_with_separator(key, "#other#", tasks, run_ms)
     }
 
-    fn marked_job(&self, key: &str, mark: &str, tasks: usize, run_ms: u64) -> Job {
-        let tokens: Vec<String> = (0..tasks).map(|i| format!("{key}{mark}{i}")).collect();
+    fn job_with_separator(&self, key: &str, separator: &str, tasks: usize, run_ms: u64) -> Job {
+        let tokens: Vec<String> = (0..tasks).map(|i| format!("{key}{separator}{i}")).collect();
         let tasks: Vec<Value> = tokens
             .iter()
             .map(|token| json!({"payload": {"run_ms": run_ms, "result": {"token": token}}}))
@@ -153,19 +153,19 @@
         }
     }
 
-    /// A key that `entry` mints, or a UUID of version 7 of the caller's own.
+    /// A key minted by `entry`, or a UUIDv7 made by the caller.
     pub async fn new_key(&self, entry: usize, minted: bool) -> Option<String> {
         if !minted {
             return Some(uuid::Uuid::now_v7().to_string());
         }
         let path = "/v1/keys?count=1";
         let reply = self.http.post(self.entries[entry], path, "");
-        let reply = timeout(CALL_LIMIT, reply).await.ok()?.ok()?;
+        let reply = timeout(CALL_TIMEOUT, reply).await.ok()?.ok()?;
         let keys: Value = serde_json::from_slice(&reply.body).ok()?;
         Some(keys["keys"][0].as_str()?.to_owned())
     }
 
-    /// A fresh key homed in `domain` that `owner` owns among `members`.
+    /// A new key with home `domain` that `owner` owns while `members` serve there.
     pub fn key_owned_by(
         &self,
         domain: &str,
@@ -191,14 +191,14 @@
         is_first && key.home(&self.domains) == Some(domain)
     }
 
-    /// Submits a job and records it; the answer's body, `Null` for none.
+    /// Submits a job. Returns the response body, or `Null` if there is none.
     pub async fn submit(&self, entry: usize, job: &Job) -> Value {
         let address = self.entries[entry];
         let request = request(Method::POST, address, "/v1/jobs", job.body.clone());
         self.call(entry, RequestKind::Submit, job, request).await
     }
 
-    /// Cancels a job and records it.
+    /// Cancels a job. Returns the response body, or `Null` if there is none.
     pub async fn cancel(&self, entry: usize, job: &Job) -> Value {
         let path = format!("/v1/jobs/{}", job.key);
         let request = request(Method::DELETE, self.entries[entry], &path, "");
@@ -224,54 +224,55 @@
             tokens: job.tokens.clone(),
             ..HistoryEntry::default()
         };
-        let reply = timeout(CALL_LIMIT, self.http.send(request)).await;
-        let answer = read_answer(reply.ok(), &mut history);
+        let reply = timeout(CALL_TIMEOUT, self.http.send(request)).await;
+        let answer = parse_response(reply.ok(), &mut history);
         history.answered_ms = unix_ms() as f64;
         let request_verdict = match history.reason == UNREACHABLE {
             true => NOT_RUN.to_owned(),
-            false => text(&answer, "request_verdict"),
+            false => string_field(&answer, "request_verdict"),
         };
-        self.recorded.lock().unwrap().push(Recorded {
+        self.recorded.lock().unwrap().push(RecordedRequest {
             entry: history,
             request_verdict,
         });
         answer
     }
 
-    /// Submits a job, from `entry` on through all instances in turn, until a
-    /// final word or the caller's limit; true if it completed.
+    /// Submits a job, first through `entry` and then through the other instances
+    /// in turn, until its response is final or [`JOB_RETRY_TIMEOUT`] passes.
+    /// Returns whether the job completed.
     pub async fn submit_until_final(&self, entry: usize, job: &Job) -> bool {
-        let begun = Instant::now();
-        for turn in 0.. {
-            let answer = self.submit(self.entry_after(entry, turn), job).await;
+        let start = Instant::now();
+        for attempt in 0.. {
+            let answer = self.submit(self.available_entry(entry, attempt), job).await;
             if answer["state"] == "complete" {
                 return true;
             }
-            if is_final(&answer) || begun.elapsed() > CALLER_LIMIT {
+            if is_final(&answer) || start.elapsed() > JOB_RETRY_TIMEOUT {
                 return false;
             }
             let retry_ms = answer["retry_after_ms"].as_u64().unwrap_or(0).min(500);
-            sleep(PAUSE.max(Duration::from_millis(retry_ms))).await;
+            sleep(RETRY_INTERVAL.max(Duration::from_millis(retry_ms))).await;
         }
         false
     }
 
-    /// Submits a job once more through every instance but `entry`.
+    /// Submits a job again through every instance but `entry`.
     pub async fn resubmit_through_others(&self, entry: usize, job: &Job) -> Vec<Value> {
         let mut answers = Vec::new();
-        for turn in 1..self.entries.len() {
-            answers.push(self.submit(self.entry_after(entry, turn), job).await);
+        for offset in 1..self.entries.len() {
+            answers.push(self.submit(self.available_entry(entry, offset), job).await);
         }
         answers
     }
 
-    /// All requests so far.
+    /// The requests recorded so far.
     pub fn requests(&self) -> Vec<HistoryEntry> {
         let recorded = self.recorded.lock().unwrap();
         recorded.iter().map(|item| item.entry.clone()).collect()
     }
 
-    /// Keys of the jobs that never completed.
+    /// Keys of the jobs for which no response reported completion.
     pub fn incomplete_keys(&self) -> BTreeSet<String> {
         let requests = self.requests();
         let is_complete = |entry: &&HistoryEntry| entry.state == "complete";
@@ -281,47 +282,48 @@
         &all - &complete
     }
 
-    /// What each job that never completed was told, in order, for people.
+    /// For each incomplete job, its key and its responses in order.
     pub fn describe_incomplete_jobs(&self) -> Vec<String> {
-        let mut told: BTreeMap<String, Vec<String>> = BTreeMap::new();
+        let mut responses: BTreeMap<String, Vec<String>> = BTreeMap::new();
         for entry in self.requests() {
-            let word = format!(
+            let response = format!(
                 "{} at {}: {} {} {}",
                 entry.sent_ms, entry.entry, entry.status, entry.reason, entry.state
             );
-            told.entry(entry.key).or_default().push(word);
+            responses.entry(entry.key).or_default().push(response);
         }
         let incomplete = self.incomplete_keys();
-        told.retain(|key, _| incomplete.contains(key));
-        told.into_iter()
-            .map(|(key, words)| format!("{key}: {words:#?}"))
+        responses.retain(|key, _| incomplete.contains(key));
+        responses
+            .into_iter()
+            .map(|(key, responses)| format!("{key}: {responses:#?}"))
             .collect()
     }
 
-    /// Keys with starts all of whose submissions were told that they
-    /// themselves had started nothing.
+    /// Keys of jobs with task starts whose submissions were all answered with the
+    /// request verdict `not_run`.
     pub fn false_request_verdicts(&self, starts: &[TaskStart]) -> Vec<String> {
         let recorded = self.recorded.lock().unwrap();
         let mut may_have_run: BTreeMap<&str, bool> = BTreeMap::new();
         for item in recorded.iter() {
             if item.entry.kind == RequestKind::Submit {
-                let open = item.request_verdict != NOT_RUN;
-                *may_have_run.entry(&item.entry.key).or_default() |= open;
+                let possible = item.request_verdict != NOT_RUN;
+                *may_have_run.entry(&item.entry.key).or_default() |= possible;
             }
         }
         let started: BTreeSet<&str> = starts
             .iter()
             .filter_map(|start| start.task.split('/').next())
             .collect();
-        let denied = may_have_run.into_iter().filter(|(_, open)| !open);
-        denied
+        let not_run = may_have_run.into_iter().filter(|(_, possible)| !possible);
+        not_run
             .filter(|(key, _)| started.contains(key))
             .map(|(key, _)| key.to_owned())
             .collect()
     }
 }
 
-fn read_answer(reply: Option<Result<Reply, CallError>>, history: &mut HistoryEntry) -> Value {
+fn parse_response(reply: Option<Result<Reply, CallError>>, history: &mut HistoryEntry) -> Value {
     let reply = match reply {
         Some(Ok(reply)) => reply,
         Some(Err(CallError::Connect { .. })) => {
@@ -332,40 +334,40 @@
     };
     let answer: Value = serde_json::from_slice(&reply.body).unwrap_or_default();
     history.status = reply.status.as_u16();
-    history.verdict = text(&answer, "verdict");
-    history.state = text(&answer, "state");
+    history.verdict = string_field(&answer, "verdict");
+    history.state = string_field(&answer, "state");
     history.reason = reason_of(&answer);
     history.results = answer["results"].as_array().cloned().unwrap_or_default();
     answer
 }
 
-fn text(answer: &Value, field: &str) -> String {
+fn string_field(answer: &Value, field: &str) -> String {
     answer[field].as_str().unwrap_or_default().to_owned()
 }
 
-/// The reason of a refusal or failure; empty where there is none.
+/// The reason of a refusal or failure; empty if there is none.
 pub fn reason_of(answer: &Value) -> String {
-    let problem = text(answer, "type");
+    let problem = string_field(answer, "type");
     match problem.rsplit_once(':') {
         Some((_, reason)) => reason.to_owned(),
-        None => text(answer, "reason"),
+        None => string_field(answer, "reason"),
     }
 }
 
 fn is_final(answer: &Value) -> bool {
     let reason = reason_of(answer);
-    let no_use = answer["verdict"] == NOT_RUN && answer["retry_after_ms"] == 0;
-    FINAL_REASONS.contains(&reason.as_str()) || no_use || answer["verdict"] == "ran"
+    let not_retryable = answer["verdict"] == NOT_RUN && answer["retry_after_ms"] == 0;
+    FINAL_REASONS.contains(&reason.as_str()) || not_retryable || answer["verdict"] == "ran"
 }
 
-/// Callers at a steady pace, each of whose jobs is submitted until a final
-/// word and then once more through every other instance.
+/// Background callers that start jobs at a fixed interval. Each job is submitted
+/// until its response is final, and then again through every other instance.
 pub struct Callers {
     stop: Arc<AtomicBool>,
     task: JoinHandle<JobCounts>,
 }
 
-/// How the jobs of callers ended.
+/// Numbers of submitted and of completed jobs.
 #[derive(Clone, Copy, Debug)]
 pub struct JobCounts {
     pub jobs: usize,
@@ -373,10 +375,10 @@
 }
 
 impl Callers {
-    /// Starts a job each `period_ms`, through `entries` in turn.
+    /// Starts a job every `period_ms` milliseconds, through `entries` in turn.
     pub fn start(client: &Arc<RecordingClient>, entries: Vec<usize>, period_ms: u64) -> Self {
         let stop = Arc::new(AtomicBool::new(false));
-        let task = tokio::spawn(call_steadily(
+        let task = tokio::spawn(submit_periodically(
             Arc::clone(client),
             entries,
             Duration::from_millis(period_ms),
@@ -385,14 +387,15 @@
         Self { stop, task }
     }
 
-    /// Starts no more jobs than [`MIN_JOBS`] and waits for the last word on each.
+    /// Stops submitting once there were [`JOBS_MIN`] jobs, and waits for all jobs
+    /// to end.
     pub async fn finish(self) -> JobCounts {
         self.stop.store(true, Relaxed);
         self.task.await.unwrap()
     }
 }
 
-async fn call_steadily(
+async fn submit_periodically(
     client: Arc<RecordingClient>,
     entries: Vec<usize>,
     period: Duration,
@@ -400,11 +403,11 @@
 ) -> JobCounts {
     let mut jobs = JoinSet::new();
     for number in 0_usize.. {
-        if stop.load(Relaxed) && number >= MIN_JOBS {
+        if stop.load(Relaxed) && number >= JOBS_MIN {
             break;
         }
         let client = Arc::clone(&client);
-        let entry = client.entry_after(entries[number % entries.len()], 0);
+        let entry = client.available_entry(entries[number % entries.len()], 0);
         let minted = (number / entries.len()).is_multiple_of(2);
         jobs.spawn(async move {
             let Some(key) = client.new_key(entry, minted).await else {
@@ -417,14 +420,14 @@
         });
         sleep(period).await;
     }
-    let ends = jobs.join_all().await;
+    let completed = jobs.join_all().await;
     JobCounts {
-        jobs: ends.len(),
-        complete: ends.into_iter().filter(|complete| *complete).count(),
+        jobs: completed.len(),
+        complete: completed.into_iter().filter(|complete| *complete).count(),
     }
 }
 
-/// Answers counted by state or reason, to show that a fault was felt.
+/// Numbers of responses by reason or, without a reason, by job state.
 #[derive(Clone, Debug, Default)]
 pub struct OutcomeCounts(BTreeMap<String, usize>);
 
@@ -441,7 +444,7 @@
         Self(counts)
     }
 
-    /// Answers with one of these reasons or states.
+    /// Number of responses with one of these reasons or states.
     pub fn count(&self, names: &[&str]) -> usize {
         names.iter().filter_map(|name| self.0.get(*name)).sum()
     }
--- a/tests/testsuite/support/deployment.rs
+++ b/tests/testsuite/support/deployment.rs
@@ -1,8 +1,8 @@
-//! A deployment of real `trefoild` processes with the platform's and the
-//! workers' stand-ins in this process, and faults on order.
+//! A deployment of `trefoild` processes, with a fake platform and fake workers
+//! in the test's process, and fault injection.
 //!
-//! Instances of one failure domain dial each other directly; each link between
-//! failure domains goes through a relay of its own, which can be cut.
+//! Instances of one failure domain connect to each other directly. Each link
+//! between failure domains goes through a relay, which can interrupt it.
 
 use std::net::{Ipv4Addr, SocketAddr};
 use std::sync::Arc;
@@ -28,13 +28,13 @@
 use super::callers::{OutcomeCounts, RecordingClient};
 use super::instance::{Instance, InstanceOptions};
 
-/// Longest wait for anything that must come.
-pub const SOON: Duration = Duration::from_secs(30);
-const STEP: Duration = Duration::from_millis(20);
-/// First port of instances, below the ports that the system gives out.
-const PORT: u16 = 7400;
-/// Deployments at once: each is half a dozen processes.
-static RUNNING: Semaphore = Semaphore::const_new(2);
+/// Longest wait for an expected state.
+pub const WAIT_TIMEOUT: Duration = Duration::from_secs(30);
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
+/// First port of instances; below the ephemeral port range.
+const FIRST_PORT: u16 = 7400;
+/// Limits concurrent deployments, each of which runs several processes.
+static CONCURRENT_DEPLOYMENTS: Semaphore = Semaphore::const_new(2);
 
 pub const DOMAINS: [&str; 2] = ["half-way-tree", "portmore"];
 pub const SERVICE: &str = "payrun";
@@ -46,7 +46,7 @@
     pub domains: usize,
     pub instances_per_domain: usize,
     pub workers_per_domain: usize,
-    /// Announcement of planned stops, milliseconds.
+    /// The setting `drain.announce_ms` of all instances.
     pub announce_ms: u64,
 }
 
@@ -56,99 +56,100 @@
             domains: 1,
             instances_per_domain: 3,
             workers_per_domain: 4,
-            // Beyond `vouch_ahead_ms`, as by default, so that keys are handed over.
+            // Longer than `vouch_ahead_ms`, as by default, so that keys are handed over.
             announce_ms: 700,
         }
     }
 }
 
-/// The link by which an instance of one domain dials one of another.
-struct CrossLink {
+/// The relay through which all instances of a domain connect to an instance of
+/// another domain.
+struct InterDomainLink {
     from_domain: usize,
-    to: usize,
+    to_instance: usize,
     relay: RelayHandle,
 }
 
-/// A running deployment; dropped, it ends every process that it started.
+/// A running deployment; kills its processes when dropped.
 pub struct Deployment {
     pub instances: Vec<Instance>,
     pub platform: PlatformHandle,
     pub workers: Vec<WorkersHandle>,
     pub client: Arc<RecordingClient>,
-    size: DeploymentOptions,
-    links: Vec<CrossLink>,
+    options: DeploymentOptions,
+    links: Vec<InterDomainLink>,
     _permit: SemaphorePermit<'static>,
 }
 
-/// An address of 127.0.0.0/8 that no other test of these uses.
-fn own_address() -> Ipv4Addr {
+/// An address in 127.0.0.0/8 that is unique to this deployment.
+fn unique_loopback_address() -> Ipv4Addr {
     static USED: AtomicU8 = AtomicU8::new(1);
     let [_, _, high, low] = std::process::id().to_be_bytes();
     Ipv4Addr::new(127, high & 0x3f | 0x40, low, USED.fetch_add(1, Relaxed))
 }
 
 impl Deployment {
-    /// Starts all processes and waits until every one serves.
-    pub async fn start(size: DeploymentOptions) -> Self {
-        let permit = RUNNING.acquire().await.unwrap();
-        let own = own_address();
-        let any = SocketAddr::from((own, 0));
+    /// Starts all processes and waits until every instance serves requests.
+    pub async fn start(options: DeploymentOptions) -> Self {
+        let permit = CONCURRENT_DEPLOYMENTS.acquire().await.unwrap();
+        let ip = unique_loopback_address();
+        let any = SocketAddr::from((ip, 0));
         let platform = platform::start(any, PlatformOptions::default());
         let platform = platform.await.unwrap();
         let mut workers = Vec::new();
-        for _ in 0..size.domains {
-            let options = WorkerOptions {
-                count: size.workers_per_domain,
+        for _ in 0..options.domains {
+            let worker_options = WorkerOptions {
+                count: options.workers_per_domain,
                 ..WorkerOptions::default()
             };
-            workers.push(worker::start(any, options).await.unwrap());
+            workers.push(worker::start(any, worker_options).await.unwrap());
         }
-        let mut options = all_options(size, own, platform.address);
-        let links = join_domains(&mut options, any).await;
-        let entries = options.iter().map(|options| options.http_address);
-        let domains = DOMAINS[..size.domains].to_vec();
+        let mut instances = instance_options(options, ip, platform.address);
+        let links = connect_instances(&mut instances, any).await;
+        let entries = instances.iter().map(|instance| instance.http_address);
+        let domains = DOMAINS[..options.domains].to_vec();
         let mut deployment = Self {
             client: Arc::new(RecordingClient::new(entries.collect(), domains)),
-            instances: options.into_iter().map(Instance::start).collect(),
+            instances: instances.into_iter().map(Instance::start).collect(),
             platform,
             workers,
-            size,
+            options,
             links,
             _permit: permit,
         };
-        deployment.declare().await;
+        deployment.declare_resources().await;
         deployment.publish_instance_list().await;
         deployment.wait_until_serving().await;
         deployment
     }
 
-    async fn declare(&mut self) {
+    async fn declare_resources(&mut self) {
         let address = self.client.entries[0];
-        wait_until("the first instance lives", async || {
+        wait_until("the first instance responds", async || {
             let reply = self.client.http.get(address, "/healthz").await;
             reply.is_ok_and(|reply| reply.status.is_success())
         })
         .await;
         let team = json!({"kind": "team", "name": TEAM, "spec": {"weight": 100}});
-        self.put(0, &team).await;
+        self.create(0, &team).await;
         let spec = json!({
             "idempotent": false, "path": "/payrun",
             "declared_run_ms": 50, "task_timeout_ms": 1000,
         });
-        self.put(
+        self.create(
             0,
             &json!({"kind": "service", "name": SERVICE, "spec": spec}),
         )
         .await;
-        for domain in 0..self.size.domains {
-            for index in 0..self.size.workers_per_domain {
+        for domain in 0..self.options.domains {
+            for index in 0..self.options.workers_per_domain {
                 let server = self.backend_server(domain, index);
-                self.put(0, &server).await;
+                self.create(0, &server).await;
             }
         }
     }
 
-    /// The declaration of a worker.
+    /// The `backend_server` resource of a fake worker.
     pub fn backend_server(&self, domain: usize, index: usize) -> Value {
         let name = DOMAINS[domain];
         let address = self.workers[domain].addresses[index].to_string();
@@ -161,23 +162,24 @@
         })
     }
 
-    async fn put(&self, entry: usize, resource: &Value) {
+    async fn create(&self, entry: usize, resource: &Value) {
         let status = self.try_create(entry, resource).await;
         assert!((200..300).contains(&status), "{status}: {resource}");
     }
 
-    /// Declares a resource that does not exist; the status answered.
+    /// Declares a resource if it does not exist. Returns the HTTP status, or 0 if
+    /// there is no response.
     pub async fn try_create(&self, entry: usize, resource: &Value) -> u16 {
         self.put_resource(entry, resource, true).await
     }
 
-    /// Declares a resource anew, whatever it was.
+    /// Replaces a resource unconditionally.
     pub async fn replace_resource(&self, entry: usize, resource: &Value) {
         let status = self.put_resource(entry, resource, false).await;
         assert_eq!(status, 200, "{resource}");
     }
 
-    async fn put_resource(&self, entry: usize, resource: &Value, absent: bool) -> u16 {
+    async fn put_resource(&self, entry: usize, resource: &Value, must_be_absent: bool) -> u16 {
         let kind = match resource["kind"].as_str().unwrap() {
             "team" => "teams",
             "service" => "services",
@@ -186,7 +188,7 @@
         let path = format!("/v1/{kind}/{}", resource["name"].as_str().unwrap());
         let address = self.client.entries[entry];
         let mut request = request(Method::PUT, address, &path, resource.to_string());
-        if absent {
+        if must_be_absent {
             let any = HeaderValue::from_static("*");
             request.headers_mut().insert(IF_NONE_MATCH, any);
         }
@@ -194,15 +196,15 @@
         reply.map_or(0, |reply| reply.status.as_u16())
     }
 
-    /// Puts the running instances into the platform's list.
+    /// Sets the platform's instance list to the running instances.
     pub async fn publish_instance_list(&self) {
-        let mut entries = Vec::new();
+        let mut listed = Vec::new();
         for (index, instance) in self.instances.iter().enumerate() {
             if instance.is_running() {
                 self.wait_until_responding(index).await;
                 let incarnation = self.incarnation(index).await;
                 let options = &instance.options;
-                entries.push(json!({
+                listed.push(json!({
                     "name": options.name, "incarnation": incarnation,
                     "failure_domain": options.domain,
                     "http_address": options.http_address.to_string(),
@@ -211,17 +213,17 @@
                 }));
             }
         }
-        self.platform.set_instances(entries);
+        self.platform.set_instances(listed);
     }
 
     async fn wait_until_responding(&self, entry: usize) {
-        wait_until("an instance lives", async || {
+        wait_until("an instance responds", async || {
             self.status(entry).await.is_some()
         })
         .await;
     }
 
-    /// `/v1/status` of an instance, where it answers.
+    /// The response of an instance to `/v1/status`, if there is one.
     pub async fn status(&self, entry: usize) -> Option<Value> {
         let address = self.client.entries[entry];
         let reply = self.client.http.get(address, "/v1/status").await.ok()?;
@@ -236,16 +238,16 @@
         own.unwrap()["incarnation"].as_u64().unwrap()
     }
 
-    /// Whether `/readyz` says that an instance serves.
+    /// Whether `/readyz` reports that an instance is ready.
     pub async fn is_ready(&self, entry: usize) -> bool {
         let address = self.client.entries[entry];
         let reply = self.client.http.get(address, "/readyz").await;
         reply.is_ok_and(|reply| reply.status.is_success())
     }
 
-    /// Waits until one revision, `floor` or a later one, is in force at all
-    /// running instances; it.
-    pub async fn wait_for_common_revision(&self, floor: u64) -> u64 {
+    /// Waits until the same configuration revision, at least `min_revision`, is in
+    /// force at all running instances. Returns this revision.
+    pub async fn wait_for_common_revision(&self, min_revision: u64) -> u64 {
         let revisions = async || {
             let mut revisions = Vec::new();
             for (entry, instance) in self.instances.iter().enumerate() {
@@ -258,15 +260,15 @@
         };
         wait_until("one revision is in force everywhere", async || {
             let revisions = revisions().await;
-            let newest = revisions[0];
-            newest >= floor && revisions.iter().all(|revision| *revision == newest)
+            let common = revisions[0];
+            common >= min_revision && revisions.iter().all(|revision| *revision == common)
         })
         .await;
         revisions().await[0]
     }
 
-    /// Waits until every running instance is ready and serves fresh keys of
-    /// every home, time and again.
+    /// Waits until every running instance is ready and completes several jobs in a
+    /// row.
     pub async fn wait_until_serving(&self) {
         for index in 0..self.instances.len() {
             if self.instances[index].is_running() {
@@ -279,15 +281,18 @@
         self.wait_until_serving_at(&running).await;
     }
 
-    /// Waits until fresh keys of each kind complete in a row through each of
-    /// `entries`.
+    /// Waits until several jobs in a row, with minted keys and keys of callers,
+    /// complete through each of `entries`.
     pub async fn wait_until_serving_at(&self, entries: &[usize]) {
-        const IN_A_ROW: usize = 6;
+        const JOBS_IN_A_ROW: usize = 6;
         for &entry in entries {
-            let begun = Instant::now();
-            let mut done = 0;
-            while done < IN_A_ROW {
-                let key = self.client.new_key(entry, done.is_multiple_of(2)).await;
+            let start = Instant::now();
+            let mut completed = 0;
+            while completed < JOBS_IN_A_ROW {
+                let key = self
+                    .client
+                    .new_key(entry, completed.is_multiple_of(2))
+                    .await;
                 let answer = match key {
                     Some(key) => {
                         self.client
@@ -296,26 +301,30 @@
                     }
                     None => Value::Null,
                 };
-                done = match answer["state"] == "complete" {
-                    true => done + 1,
+                completed = match answer["state"] == "complete" {
+                    true => completed + 1,
                     false => 0,
                 };
-                assert!(begun.elapsed() < SOON, "entry {entry}: last {answer}");
-                if done == 0 {
-                    sleep(STEP).await;
+                assert!(
+                    start.elapsed() < WAIT_TIMEOUT,
+                    "entry {entry}: last response {answer}"
+                );
+                if completed == 0 {
+                    sleep(POLL_INTERVAL).await;
                 }
             }
         }
     }
 
-    /// Holds back, or passes again, all that goes between failure domains.
+    /// Sets the state of all links between failure domains.
     pub fn set_domain_links(&self, state: LinkState) {
         for link in &self.links {
             link.relay.set_state(state);
         }
     }
 
-    /// How many instances of another failure domain an instance calls silent.
+    /// Number of instances in other failure domains that an instance reports as
+    /// silent.
     pub async fn silent_remote_instances(&self, entry: usize) -> usize {
         let domain = &self.instances[entry].options.domain;
         let status = self.status(entry).await.unwrap_or_default();
@@ -327,42 +336,41 @@
             .count()
     }
 
-    pub fn update_platform_faults(&self, order: &FaultUpdate) {
-        self.platform.update_faults(order);
+    pub fn update_platform_faults(&self, update: &FaultUpdate) {
+        self.platform.update_faults(update);
     }
 
-    /// Orders faults of one worker of each failure domain, or of all.
-    pub fn update_worker_faults(&self, order: &WorkerFaultUpdate) {
+    /// Updates the faults of one worker in each failure domain, or of all workers.
+    pub fn update_worker_faults(&self, update: &WorkerFaultUpdate) {
         self.workers
             .iter()
-            .for_each(|workers| workers.update_faults(order));
+            .for_each(|workers| workers.update_faults(update));
     }
 
-    /// Instances of a failure domain.
+    /// Indexes of the instances in a failure domain.
     pub fn instances_of_domain(&self, domain: usize) -> Vec<usize> {
-        let each = self.size.instances_per_domain;
-        (domain * each..(domain + 1) * each).collect()
+        let count = self.options.instances_per_domain;
+        (domain * count..(domain + 1) * count).collect()
     }
 
-    /// Names of the instances of a failure domain.
     pub fn instance_names(&self, domain: usize) -> Vec<String> {
-        let of_domain = self.instances_of_domain(domain).into_iter();
-        of_domain
+        let indexes = self.instances_of_domain(domain).into_iter();
+        indexes
             .map(|index| self.instances[index].options.name.clone())
             .collect()
     }
 
-    /// A fresh key that `owner` owns while its whole failure domain serves.
+    /// A new key that `owner` owns while all instances of its failure domain serve.
     pub fn key_owned_by(&self, owner: usize, minted: bool) -> String {
-        let domain = owner / self.size.instances_per_domain;
+        let domain = owner / self.options.instances_per_domain;
         let name = &self.instances[owner].options.name;
         self.client
             .key_owned_by(DOMAINS[domain], &self.instance_names(domain), name, minted)
     }
 
-    /// Whether `owner` owns a key while its whole failure domain serves.
+    /// Whether `owner` owns a key while all instances of its failure domain serve.
     pub fn owns(&self, owner: usize, key: &str) -> bool {
-        let domain = owner / self.size.instances_per_domain;
+        let domain = owner / self.options.instances_per_domain;
         let name = &self.instances[owner].options.name;
         let key = JobKey::parse(key).unwrap();
         self.client
@@ -374,93 +382,103 @@
         starts.flatten().collect()
     }
 
-    /// Holds all that callers got against all starts.
+    /// Checks all recorded responses against all task starts.
     ///
     /// # Panics
     ///
-    /// A promise is broken.
+    /// Panics if the history has a violation.
     pub fn check_history(&self) -> OutcomeCounts {
         let starts = self.starts();
         let requests = self.client.requests();
         let report = check(&requests, &starts);
         assert!(report.violations.is_empty(), "{:#?}", report.violations);
-        let false_words = self.client.false_request_verdicts(&starts);
-        assert!(false_words.is_empty(), "{false_words:#?}");
-        let tally = OutcomeCounts::new(&requests);
+        let false_verdicts = self.client.false_request_verdicts(&starts);
+        assert!(false_verdicts.is_empty(), "{false_verdicts:#?}");
+        let outcomes = OutcomeCounts::new(&requests);
         eprintln!(
-            "{} requests, {} starts: {tally:?}",
+            "{} requests, {} starts: {outcomes:?}",
             requests.len(),
             starts.len()
         );
-        tally
+        outcomes
     }
 }
 
-/// Waits until `holds`.
-pub async fn wait_until(what: &str, holds: impl AsyncFn() -> bool) {
-    let begun = Instant::now();
-    while !holds().await {
-        assert!(begun.elapsed() < SOON, "not reached: {what}");
-        sleep(STEP).await;
+/// Polls until `condition` is true.
+///
+/// # Panics
+///
+/// Panics after [`WAIT_TIMEOUT`].
+pub async fn wait_until(description: &str, condition: impl AsyncFn() -> bool) {
+    let start = Instant::now();
+    while !condition().await {
+        assert!(
+            start.elapsed() < WAIT_TIMEOUT,
+            "timed out waiting until {description}"
+        );
+        sleep(POLL_INTERVAL).await;
     }
 }
 
-fn all_options(
-    size: DeploymentOptions,
-    own: Ipv4Addr,
+fn instance_options(
+    options: DeploymentOptions,
+    ip: Ipv4Addr,
     platform: SocketAddr,
 ) -> Vec<InstanceOptions> {
-    let domains: Vec<String> = DOMAINS[..size.domains]
+    let domains: Vec<String> = DOMAINS[..options.domains]
         .iter()
         .map(|&domain| domain.to_owned())
         .collect();
-    let count = size.domains * size.instances_per_domain;
+    let count = options.domains * options.instances_per_domain;
     (0..count)
         .map(|index| {
-            let port = PORT + 2 * u16::try_from(index).unwrap();
+            let port = FIRST_PORT + 2 * u16::try_from(index).unwrap();
             InstanceOptions {
                 name: format!("entry-{}", index + 1),
-                domain: domains[index / size.instances_per_domain].clone(),
+                domain: domains[index / options.instances_per_domain].clone(),
                 domains: domains.clone(),
-                http_address: SocketAddr::from((own, port)),
-                peer_address: SocketAddr::from((own, port + 1)),
+                http_address: SocketAddr::from((ip, port)),
+                peer_address: SocketAddr::from((ip, port + 1)),
                 platform,
                 peers: Vec::new(),
-                announce_ms: size.announce_ms,
+                announce_ms: options.announce_ms,
             }
         })
         .collect()
 }
 
-/// Tells each instance of all others, and puts relays between domains.
-async fn join_domains(options: &mut [InstanceOptions], any: SocketAddr) -> Vec<CrossLink> {
-    let all = options.to_vec();
-    let mut links: Vec<CrossLink> = Vec::new();
+/// Sets the peers of each instance, with relays between failure domains.
+async fn connect_instances(
+    instances: &mut [InstanceOptions],
+    any: SocketAddr,
+) -> Vec<InterDomainLink> {
+    let all = instances.to_vec();
+    let mut links: Vec<InterDomainLink> = Vec::new();
     let domain_index = |name: &str| DOMAINS.iter().position(|domain| *domain == name).unwrap();
-    for own in options.iter_mut() {
-        let from_domain = domain_index(&own.domain);
+    for instance in instances.iter_mut() {
+        let from_domain = domain_index(&instance.domain);
         for (to, peer) in all.iter().enumerate() {
-            if peer.name == own.name {
+            if peer.name == instance.name {
                 continue;
             }
-            let known = links
+            let existing = links
                 .iter()
-                .find(|link| link.from_domain == from_domain && link.to == to);
-            let dial_address = match (known, peer.domain == own.domain) {
+                .find(|link| link.from_domain == from_domain && link.to_instance == to);
+            let dial_address = match (existing, peer.domain == instance.domain) {
                 (_, true) => String::new(),
                 (Some(link), false) => link.relay.address.to_string(),
                 (None, false) => {
                     let relay = relay::start(any, peer.peer_address, None).await.unwrap();
                     let address = relay.address.to_string();
-                    links.push(CrossLink {
+                    links.push(InterDomainLink {
                         from_domain,
-                        to,
+                        to_instance: to,
                         relay,
                     });
                     address
                 }
             };
-            own.peers.push(PeerSettings {
+            instance.peers.push(PeerSettings {
                 instance: peer.name.clone(),
                 failure_domain: peer.domain.clone(),
                 peer_address: peer.peer_address.to_string(),
--- a/tests/testsuite/support/instance.rs
+++ b/tests/testsuite/support/instance.rs
@@ -1,4 +1,4 @@
-//! One `trefoild` process, ended with its handle.
+//! A `trefoild` process that is killed when its handle is dropped.
 
 use std::fs::File;
 use std::net::SocketAddr;
@@ -9,13 +9,13 @@
 
 use trefoil_schema::settings::PeerSettings;
 
-/// Directory for the log lines of instances, where they are wanted.
-const LOG_DIRECTORY: &str = "TREFOIL_FAULT_LOGS";
+/// Environment variable with the directory for instance logs; without it, logs
+/// are discarded.
+const LOG_DIRECTORY_ENV: &str = "TREFOIL_FAULT_LOGS";
 
-/// Another build of `trefoild` to test, as one with a mechanism switched off.
-const PROGRAM: &str = "TREFOIL_FAULT_PROGRAM";
+/// Environment variable with the path of another `trefoild` binary to test.
+const PROGRAM_ENV: &str = "TREFOIL_FAULT_PROGRAM";
 
-/// What one process is started with.
 #[derive(Clone, Debug)]
 pub struct InstanceOptions {
     pub name: String,
@@ -28,7 +28,7 @@
     pub announce_ms: u64,
 }
 
-/// One instance, running or not.
+/// An instance, which may be stopped.
 pub struct Instance {
     pub options: InstanceOptions,
     child: Option<Child>,
@@ -44,13 +44,13 @@
         instance
     }
 
-    /// Starts the process anew, which makes it another incarnation.
+    /// Kills the process if it runs, and starts it as a new incarnation.
     pub fn restart(&mut self) {
         self.kill();
         self.child = Some(command(&self.options).spawn().unwrap());
     }
 
-    /// Ends the process at once, as `kill -9` does.
+    /// Sends `SIGKILL` and waits for the process to exit.
     pub fn kill(&mut self) {
         if let Some(mut child) = self.child.take() {
             child.kill().unwrap();
@@ -58,18 +58,18 @@
         }
     }
 
-    /// Sends `SIGTERM`, which starts the planned stop.
+    /// Sends `SIGTERM`, which starts a planned stop.
     pub fn terminate(&self) {
         self.signal("TERM");
     }
 
-    /// Waits for the process to end by itself; its exit code, or `None` if it
-    /// still runs after `limit`.
-    pub async fn wait_for_exit(&mut self, limit: Duration) -> Option<i32> {
-        let begun = Instant::now();
-        while begun.elapsed() < limit {
-            let ended = self.child.as_mut().unwrap().try_wait().unwrap();
-            if let Some(status) = ended {
+    /// Waits for the process to exit. Returns its exit code, or `None` if it still
+    /// runs after `timeout`.
+    pub async fn wait_for_exit(&mut self, timeout: Duration) -> Option<i32> {
+        let start = Instant::now();
+        while start.elapsed() < timeout {
+            let exited = self.child.as_mut().unwrap().try_wait().unwrap();
+            if let Some(status) = exited {
                 self.child = None;
                 return status.code();
             }
@@ -82,12 +82,12 @@
         self.child.is_some()
     }
 
-    /// Stops the process where it stands.
+    /// Sends `SIGSTOP`.
     pub fn suspend(&self) {
         self.signal("STOP");
     }
 
-    /// Lets a stopped process go on.
+    /// Sends `SIGCONT`.
     pub fn resume(&self) {
         self.signal("CONT");
     }
@@ -109,8 +109,8 @@
 }
 
 fn command(options: &InstanceOptions) -> Command {
-    let built = env!("CARGO_BIN_EXE_trefoild").to_owned();
-    let mut command = Command::new(std::env::var(PROGRAM).unwrap_or(built));
+    let default_program = env!("CARGO_BIN_EXE_trefoild").to_owned();
+    let mut command = Command::new(std::env::var(PROGRAM_ENV).unwrap_or(default_program));
     let domains = serde_json::to_string(&options.domains).unwrap();
     let peers = serde_json::to_string(&options.peers).unwrap();
     let overrides = [
@@ -133,15 +133,15 @@
         "workers.probation_ms=300".to_owned(),
         format!("drain.announce_ms={}", options.announce_ms),
     ];
-    for item in overrides {
-        command.args(["--set", &item]);
+    for setting in overrides {
+        command.args(["--set", &setting]);
     }
-    command.stderr(log_lines(options)).stdout(Stdio::null());
+    command.stderr(log_output(options)).stdout(Stdio::null());
     command
 }
 
-fn log_lines(options: &InstanceOptions) -> Stdio {
-    let Ok(directory) = std::env::var(LOG_DIRECTORY) else {
+fn log_output(options: &InstanceOptions) -> Stdio {
+    let Ok(directory) = std::env::var(LOG_DIRECTORY_ENV) else {
         return Stdio::null();
     };
     let path = format!("{directory}/{}-{}.log", options.http_address, options.name);
--- a/tests/testsuite/support/mod.rs
+++ b/tests/testsuite/support/mod.rs
@@ -1,4 +1,4 @@
-//! What the tests share.
+//! Support code shared by the tests.
 
 pub mod api_stub;
 pub mod callers;
--- a/tests/testsuite/support/pair.rs
+++ b/tests/testsuite/support/pair.rs
@@ -1,5 +1,5 @@
-//! Two instances of one failure domain in this process, with a worker and the
-//! platform's stand-in.
+//! Two instances of one failure domain in the test's process, with a fake
+//! platform.
 
 use std::net::{SocketAddr, TcpListener};
 use std::time::Duration;
@@ -17,17 +17,17 @@
 use trefoilbay::util::settings;
 use trefoilbay::util::telemetry::Telemetry;
 
-const STEP: Duration = Duration::from_millis(20);
-const STEPS_MAX: u32 = 500;
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
+const POLLS_MAX: u32 = 500;
 const NAMES: [&str; 2] = ["entry-1", "entry-2"];
-/// Start of the line of completed jobs on the metrics page.
-const COMPLETE: &str = "trefoil_jobs_ended_total{end=\"complete\"";
+/// Prefix of the metrics line that counts completed jobs.
+const COMPLETED_JOBS_PREFIX: &str = "trefoil_jobs_ended_total{end=\"complete\"";
 
-/// Two instances; dropping it ends both.
+/// Two running instances; both stop when dropped.
 pub struct InstancePair {
     pub entries: [SocketAddr; 2],
     pub peers: [SocketAddr; 2],
-    /// Own jobs at the start that were refused, before keys had settled owners.
+    /// Number of jobs refused during [`Self::start`], while keys had no owners.
     pub setup_jobs_refused: usize,
     client: Client,
     servers: Vec<JoinHandle<()>>,
@@ -41,8 +41,8 @@
 }
 
 impl InstancePair {
-    /// Starts both and waits until they are ready; `worker` is declared for
-    /// the service `pay`.
+    /// Starts both instances and waits until they are ready. The backend server at
+    /// `worker` is declared for the service `pay`.
     pub async fn start(worker: SocketAddr, telemetry: impl Fn(&Settings) -> Telemetry) -> Self {
         let any = "127.0.0.1:0".parse().unwrap();
         let platform = platform::start(any, PlatformOptions::default());
@@ -50,7 +50,7 @@
         let entries = [free_address(), free_address()];
         let peers = [free_address(), free_address()];
         let server = |index: usize| {
-            let settings = settings_of(index, &entries, &peers, platform.address);
+            let settings = instance_settings(index, &entries, &peers, platform.address);
             let telemetry = telemetry(&settings);
             let log = Logger::root(Discard, o!());
             tokio::spawn(async move {
@@ -66,86 +66,89 @@
             servers,
             _platform: platform,
         };
-        pair.declare(worker).await;
-        pair.until_ready().await;
-        pair.setup_jobs_refused = pair.until_settled().await;
+        pair.declare_resources(worker).await;
+        pair.wait_until_ready().await;
+        pair.setup_jobs_refused = pair.wait_until_keys_have_owners().await;
         pair
     }
 
-    async fn declare(&self, worker: SocketAddr) {
+    async fn declare_resources(&self, worker: SocketAddr) {
         let server = json!({
             "service": "pay", "failure_domain": "local", "address": worker, "slots": 4,
         });
-        self.put("teams", "default", "team", json!({})).await;
-        self.put("services", "pay", "service", json!({})).await;
-        self.put("backend-servers", "worker-1", "backend_server", server)
+        self.declare_resource("teams", "default", "team", json!({}))
+            .await;
+        self.declare_resource("services", "pay", "service", json!({}))
+            .await;
+        self.declare_resource("backend-servers", "worker-1", "backend_server", server)
             .await;
     }
 
-    async fn put(&self, collection: &str, name: &str, kind: &str, spec: Value) {
+    async fn declare_resource(&self, collection: &str, name: &str, kind: &str, spec: Value) {
         let body = json!({"kind": kind, "name": name, "spec": spec}).to_string();
         let path = format!("/v1/{collection}/{name}");
-        for _ in 0..STEPS_MAX {
+        for _ in 0..POLLS_MAX {
             let put = request(Method::PUT, self.entries[0], &path, body.clone());
             if let Ok(reply) = self.client.send(put).await {
                 let text = String::from_utf8_lossy(&reply.body);
                 assert!(reply.status.is_success(), "{text}");
                 return;
             }
-            sleep(STEP).await;
+            sleep(POLL_INTERVAL).await;
         }
-        panic!("{path} was not taken");
+        panic!("no response to PUT {path}");
     }
 
-    /// Waits until both own keys and know the worker.
-    async fn until_ready(&self) {
+    /// Waits until both are ready and the worker's declaration is in force at both.
+    async fn wait_until_ready(&self) {
         for entry in self.entries {
             self.wait_for_response(entry, "/readyz", |text| text.contains("\"ready\":true"))
                 .await;
-            let revision = "/v1/backend-servers/worker-1";
-            self.wait_for_response(entry, revision, |text| text.contains("2 of 2 live"))
+            let path = "/v1/backend-servers/worker-1";
+            self.wait_for_response(entry, path, |text| text.contains("2 of 2 live"))
                 .await;
         }
     }
 
-    /// Reads `path` until it answers as wished.
+    /// Polls `path` until `matches` accepts a response body, and returns the body.
     pub async fn wait_for_response(
         &self,
         entry: SocketAddr,
         path: &str,
-        fits: impl Fn(&str) -> bool,
+        matches: impl Fn(&str) -> bool,
     ) -> String {
         let mut last = String::new();
-        for _ in 0..STEPS_MAX {
+        for _ in 0..POLLS_MAX {
             if let Ok(reply) = self.client.get(entry, path).await {
                 last = String::from_utf8_lossy(&reply.body).into_owned();
-                if fits(&last) {
+                if matches(&last) {
                     return last;
                 }
             }
-            sleep(STEP).await;
+            sleep(POLL_INTERVAL).await;
         }
-        panic!("{path} never answered as expected: {last}");
+        panic!("timed out waiting for the expected response from {path}; last: {last}");
     }
 
-    /// Mints a key at the first instance.
+    /// Mints a key through the first instance.
     pub async fn mint_key(&self) -> String {
         let minted = self.client.post(self.entries[0], "/v1/keys?count=1", "");
         let body: Value = serde_json::from_slice(&minted.await.unwrap().body).unwrap();
         body["keys"][0].as_str().unwrap().to_owned()
     }
 
-    /// Submits a job of one task of `payload` and gives its whole answer.
+    /// Submits a job of one task with `payload`. Returns the response body.
     pub async fn submit_payload(&self, entry: SocketAddr, key: &str, payload: Value) -> Value {
-        self.submitted(entry, key, "", payload).await
+        self.submit_job(entry, key, "", payload).await
     }
 
-    /// Submits a job of one task within a trace and gives its whole answer.
+    /// Submits a job of one task with a `traceparent` header. Returns the response
+    /// body.
     pub async fn submit(&self, entry: SocketAddr, key: &str, traceparent: &str) -> Value {
-        self.submitted(entry, key, traceparent, json!({})).await
+        self.submit_job(entry, key, traceparent, json!({})).await
     }
 
-    async fn submitted(
+    async fn submit_job(
         &self,
         entry: SocketAddr,
         key: &str,
@@ -175,37 +178,36 @@
         self.client.send(submission).await.unwrap()
     }
 
-    /// Submits jobs until each of the two has run one: then the view that has
-    /// both is in force, and every later key has a settled owner.
+    /// Submits jobs until each instance has completed one. The view with both
+    /// instances is then in force, and every later key has an owner.
     ///
-    /// Gives how many of these were refused, as keys may be until then.
-    async fn until_settled(&self) -> usize {
+    /// Returns the number of refused jobs; jobs may be refused until then.
+    async fn wait_until_keys_have_owners(&self) -> usize {
         let mut refused = 0;
-        for _ in 0..STEPS_MAX {
+        for _ in 0..POLLS_MAX {
             let key = self.mint_key().await;
             let reply = self.try_submit(self.entries[0], &key, "", json!({})).await;
             refused += usize::from(!reply.status.is_success());
             let pages = [self.metrics_page(0).await, self.metrics_page(1).await];
-            let has_run = |page: &String| {
+            let has_completed = |page: &String| {
                 let mut lines = page.lines();
-                lines.any(|line| line.starts_with(COMPLETE) && !line.ends_with(" 0"))
+                lines.any(|line| line.starts_with(COMPLETED_JOBS_PREFIX) && !line.ends_with(" 0"))
             };
-            if pages.iter().all(has_run) {
+            if pages.iter().all(has_completed) {
                 return refused;
             }
-            sleep(STEP).await;
+            sleep(POLL_INTERVAL).await;
         }
-        panic!("keys never had a settled owner");
+        panic!("timed out waiting for both instances to complete a job");
     }
 
-    /// The metrics page of an instance.
     pub async fn metrics_page(&self, index: usize) -> String {
         self.wait_for_response(self.entries[index], "/metrics", |_| true)
             .await
     }
 }
 
-fn settings_of(
+fn instance_settings(
     index: usize,
     entries: &[SocketAddr; 2],
     peers: &[SocketAddr; 2],
