--- a/tests/testsuite/api_page.rs
+++ b/tests/testsuite/api_page.rs
@@ -1,5 +1,4 @@
-//! The page on the API names every reason that the code can send, each with
-//! its status.
+//! docs/API.md lists every reason that the server can send, with its status.
 
 use trefoil_core::engine::{FailureReason, JobAnswer, JobState, RefusalReason};
 use trefoil_core::verdict::Verdict;
@@ -11,19 +10,19 @@
 const FAILURES: &str = include_str!("../../crates/core/src/engine/failure.rs");
 const OPERATOR: &str = include_str!("../../src/http/operator/refuse.rs");
 
-/// Variants of an enum without fields, in snake case, read from its source.
-fn variants(source: &str, name: &str) -> Vec<String> {
+/// Names of the variants of a fieldless enum in snake case, parsed from its source.
+fn variant_names(source: &str, name: &str) -> Vec<String> {
     let start = format!("enum {name} {{\n");
     let body = source.split_once(&start).unwrap().1;
     let body = body.split_once("\n}").unwrap().0;
     let lines = body.lines().map(str::trim);
     let names = lines.filter(|line| !line.starts_with("///") && !line.is_empty());
     names
-        .map(|line| snake(line.trim_end_matches(',')))
+        .map(|line| snake_case(line.trim_end_matches(',')))
         .collect()
 }
 
-fn snake(name: &str) -> String {
+fn snake_case(name: &str) -> String {
     let mut text = String::new();
     for (index, letter) in name.char_indices() {
         if letter.is_uppercase() && index > 0 {
@@ -34,8 +33,8 @@
     text
 }
 
-/// The row of `status` in the table of one section.
-fn row<'a>(section: &str, status: u16) -> &'a str {
+/// The table row of `status` in a section of the page; empty if there is none.
+fn table_row<'a>(section: &str, status: u16) -> &'a str {
     let section = PAGE.split_once(&format!("## {section}\n")).unwrap().1;
     let section = section.split("\n## ").next().unwrap();
     let start = format!("| {status} |");
@@ -43,24 +42,27 @@
     lines.find(|line| line.starts_with(&start)).unwrap_or("")
 }
 
-fn has(row: &str, reason: &str) -> bool {
+fn lists_reason(row: &str, reason: &str) -> bool {
     row.contains(&format!("`{reason}`"))
 }
 
 #[test]
-fn every_refusal_of_a_job_is_on_the_page_with_its_status() {
-    let names = variants(COMMANDS, "RefusalReason");
+fn page_lists_every_job_refusal_with_its_status() {
+    let names = variant_names(COMMANDS, "RefusalReason");
     assert!(names.len() > 15, "{names:?}");
     for name in names {
         let reason: RefusalReason = name.parse().unwrap();
         assert_eq!(reason.to_string(), name);
         let status = refusal_status(reason).as_u16();
-        assert!(has(row("Callers", status), &name), "{status} {name}");
+        assert!(
+            lists_reason(table_row("Callers", status), &name),
+            "{status} {name}"
+        );
     }
 }
 
-/// The reason that an entry tells when the owner told it `reason`.
-fn passed_on(reason: FailureReason) -> &'static str {
+/// The reason after a round trip through the peer protocol.
+fn reason_via_peer(reason: FailureReason) -> &'static str {
     let failed = JobAnswer::Known {
         state: JobState::Failed,
         verdict: Verdict::MayHaveRun,
@@ -78,8 +80,8 @@
 }
 
 #[test]
-fn every_failure_of_a_job_is_on_the_page() {
-    let names = variants(FAILURES, "FailureReason");
+fn page_lists_every_job_failure() {
+    let names = variant_names(FAILURES, "FailureReason");
     assert!(names.len() > 5, "{names:?}");
     for name in names {
         let reason: FailureReason = name.parse().unwrap();
@@ -90,19 +92,28 @@
             FailureReason::ResultDropped => 410,
             _ => 502,
         };
-        assert!(has(row("Callers", status), &name), "{status} {name}");
-        assert_eq!(passed_on(reason), reason.name(), "between instances");
+        assert!(
+            lists_reason(table_row("Callers", status), &name),
+            "{status} {name}"
+        );
+        assert_eq!(
+            reason_via_peer(reason),
+            reason.name(),
+            "reason sent between instances"
+        );
     }
-    assert!(has(row("Callers", 502), FAILURE_UNKNOWN));
+    assert!(lists_reason(table_row("Callers", 502), FAILURE_UNKNOWN));
 }
 
 #[test]
-fn every_refusal_about_resources_is_on_the_page() {
-    let names = variants(OPERATOR, "Reason");
+fn page_lists_every_resource_refusal() {
+    let names = variant_names(OPERATOR, "Reason");
     assert!(names.len() > 5, "{names:?}");
     for name in names {
         let statuses = [400, 404, 409, 412, 413, 422, 500, 503];
-        let mut rows = statuses.map(|status| row("Operators", status)).into_iter();
-        assert!(rows.any(|row| has(row, &name)), "{name}");
+        let mut rows = statuses
+            .map(|status| table_row("Operators", status))
+            .into_iter();
+        assert!(rows.any(|row| lists_reason(row, &name)), "{name}");
     }
 }
--- a/tests/testsuite/faults_owner.rs
+++ b/tests/testsuite/faults_owner.rs
@@ -1,4 +1,4 @@
-//! Owners of keys that die or pause, over real processes.
+//! Owners of keys that crash or are suspended.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -11,12 +11,13 @@
 use crate::support::deployment::{Deployment, DeploymentOptions, wait_until};
 
 const VICTIM: usize = 1;
-/// Beyond `suspect_ms` and the writing of a view without the instance.
-const LONG_PAUSE: Duration = Duration::from_millis(1_800);
+/// Longer than `suspect_ms` plus the time to write a view without the instance.
+const SUSPEND_DURATION: Duration = Duration::from_millis(1_800);
 const PERIOD_MS: u64 = 40;
 
-/// Jobs that the victim owns, submitted through all instances and running.
-async fn jobs_in_flight(deployment: &Deployment) -> (Vec<Job>, JoinSet<bool>) {
+/// Starts jobs that the victim owns through all instances, and waits until their
+/// tasks run.
+async fn start_victim_jobs(deployment: &Deployment) -> (Vec<Job>, JoinSet<bool>) {
     let client = &deployment.client;
     let before = deployment.starts().len();
     let mut jobs = Vec::new();
@@ -40,7 +41,7 @@
     (jobs, callers)
 }
 
-async fn others_only(deployment: &Deployment) {
+async fn wait_until_others_serve(deployment: &Deployment) {
     let others: Vec<usize> = deployment
         .instances_of_domain(0)
         .into_iter()
@@ -50,14 +51,14 @@
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn a_killed_owners_tasks_start_once_and_its_successor_serves() {
+async fn killed_owners_tasks_start_once_and_its_successor_serves() {
     let mut deployment = Deployment::start(DeploymentOptions::default()).await;
     let callers = Callers::start(
         &deployment.client,
         deployment.instances_of_domain(0),
         PERIOD_MS,
     );
-    let (jobs, in_flight) = jobs_in_flight(&deployment).await;
+    let (jobs, in_flight) = start_victim_jobs(&deployment).await;
     deployment.instances[VICTIM].kill();
     let complete = in_flight.join_all().await;
     assert!(complete.iter().all(|complete| !complete), "{complete:?}");
@@ -67,7 +68,7 @@
             assert_eq!(answer["verdict"], "may_have_run", "{answer}");
         }
     }
-    others_only(&deployment).await;
+    wait_until_others_serve(&deployment).await;
     deployment.instances[VICTIM].restart();
     deployment.publish_instance_list().await;
     deployment.wait_until_serving().await;
@@ -76,19 +77,22 @@
         assert_eq!(reason_of(&answer), "owner_lost", "{answer}");
     }
     assert!(callers.finish().await.complete > 20);
-    let tally = deployment.check_history();
-    assert!(tally.count(&["owner_lost"]) >= jobs.len(), "{tally:?}");
+    let outcomes = deployment.check_history();
+    assert!(
+        outcomes.count(&["owner_lost"]) >= jobs.len(),
+        "{outcomes:?}"
+    );
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn an_owner_restarted_at_once_takes_no_earlier_key_up() {
+async fn restarted_owner_refuses_keys_of_its_previous_incarnation() {
     let mut deployment = Deployment::start(DeploymentOptions::default()).await;
     let callers = Callers::start(
         &deployment.client,
         deployment.instances_of_domain(0),
         PERIOD_MS,
     );
-    let (jobs, in_flight) = jobs_in_flight(&deployment).await;
+    let (jobs, in_flight) = start_victim_jobs(&deployment).await;
     deployment.instances[VICTIM].restart();
     in_flight.join_all().await;
     deployment.wait_until_serving().await;
@@ -97,7 +101,7 @@
         assert_eq!(reason_of(&answer), "owner_lost", "{answer}");
     }
     assert!(callers.finish().await.complete > 20);
-    // Of all keys only those of the restarted owner are lost.
+    // Only keys of the restarted owner are lost.
     for key in deployment.client.incomplete_keys() {
         assert!(
             deployment.owns(VICTIM, &key),
@@ -105,46 +109,50 @@
             deployment.client.describe_incomplete_jobs()
         );
     }
-    let tally = deployment.check_history();
-    assert!(tally.count(&["owner_lost"]) >= jobs.len(), "{tally:?}");
+    let outcomes = deployment.check_history();
+    assert!(
+        outcomes.count(&["owner_lost"]) >= jobs.len(),
+        "{outcomes:?}"
+    );
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn an_owner_frozen_past_its_vouches_starts_nothing_twice() {
+async fn owner_suspended_past_its_vouches_starts_no_task_twice() {
     let deployment = Deployment::start(DeploymentOptions::default()).await;
     let callers = Callers::start(
         &deployment.client,
         deployment.instances_of_domain(0),
         PERIOD_MS,
     );
-    let (_, in_flight) = jobs_in_flight(&deployment).await;
+    let (_, in_flight) = start_victim_jobs(&deployment).await;
     for _ in 0..2 {
         deployment.instances[VICTIM].suspend();
-        // Sent to the frozen owner, and read by it long after it was replaced.
-        let late = deployment.key_owned_by(VICTIM, true);
-        let late = deployment.client.job(&late, 3, 20);
+        // Sent to the suspended owner, which reads it after it was replaced.
+        let key = deployment.key_owned_by(VICTIM, true);
+        let late_job = deployment.client.job(&key, 3, 20);
         let client = Arc::clone(&deployment.client);
-        let late = tokio::spawn(async move { client.submit_until_final(VICTIM, &late).await });
-        sleep(LONG_PAUSE).await;
-        others_only(&deployment).await;
+        let late_response =
+            tokio::spawn(async move { client.submit_until_final(VICTIM, &late_job).await });
+        sleep(SUSPEND_DURATION).await;
+        wait_until_others_serve(&deployment).await;
         deployment.instances[VICTIM].resume();
-        late.await.unwrap();
+        late_response.await.unwrap();
         deployment.wait_until_serving().await;
     }
     in_flight.join_all().await;
     assert!(callers.finish().await.complete > 20);
-    let tally = deployment.check_history();
-    let felt = [
+    let outcomes = deployment.check_history();
+    let reasons = [
         "owner_lost",
         "answer_lost",
         "not_vouched",
         "owner_unreachable",
     ];
-    assert!(tally.count(&felt) > 0, "{tally:?}");
+    assert!(outcomes.count(&reasons) > 0, "{outcomes:?}");
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn a_kill_while_the_store_is_down_loses_only_the_dead_owners_keys() {
+async fn kill_while_the_store_is_down_loses_only_the_killed_owners_keys() {
     let mut deployment = Deployment::start(DeploymentOptions::default()).await;
     let down = |down| FaultUpdate {
         down: Some(down),
@@ -156,11 +164,11 @@
         PERIOD_MS,
     );
     deployment.update_platform_faults(&down(true));
-    let (_, in_flight) = jobs_in_flight(&deployment).await;
+    let (_, in_flight) = start_victim_jobs(&deployment).await;
     deployment.instances[VICTIM].kill();
     let complete = in_flight.join_all().await;
     assert!(complete.iter().all(|complete| !complete), "{complete:?}");
-    // Keys of the two that are left go on without the store.
+    // Keys of the remaining owners are served without the store.
     for owner in [0, 2] {
         for entry in [0, 2] {
             let key = deployment.key_owned_by(owner, true);
@@ -170,7 +178,7 @@
         }
     }
     deployment.update_platform_faults(&down(false));
-    others_only(&deployment).await;
+    wait_until_others_serve(&deployment).await;
     deployment.instances[VICTIM].restart();
     deployment.wait_until_serving().await;
     assert!(callers.finish().await.complete > 20);
--- a/tests/testsuite/faults_work.rs
+++ b/tests/testsuite/faults_work.rs
@@ -1,5 +1,4 @@
-//! Workers that misbehave, bursts, cancellations and reused keys, over real
-//! processes.
+//! Faulty workers, bursts, cancellations and reused keys.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -13,9 +12,9 @@
 use crate::support::deployment::{Deployment, DeploymentOptions, wait_until};
 
 const PERIOD_MS: u64 = 30;
-const FAULT: Duration = Duration::from_millis(1_200);
+const FAULT_DURATION: Duration = Duration::from_millis(1_200);
 
-/// One fault of one worker, and its end.
+/// Updates that start and end each fault.
 fn faults() -> [(WorkerFaultUpdate, WorkerFaultUpdate); 6] {
     let none = WorkerFaultUpdate {
         fail_all: Some(false),
@@ -29,30 +28,30 @@
     let fault = |worker, set: fn(&mut WorkerFaultUpdate)| {
         let mut end = none.clone();
         end.worker = Some(worker);
-        let mut order = end.clone();
-        set(&mut order);
-        (order, end)
+        let mut start = end.clone();
+        set(&mut start);
+        (start, end)
     };
-    // A worker that was ejected may get no work for a while, so each fault has
-    // one of its own.
+    // Each fault affects a different worker, because an ejected worker may get no
+    // tasks for a while.
     [
-        fault(0, |order| order.fail_all = Some(true)),
-        fault(1, |order| order.wrong_task = Some(true)),
-        fault(2, |order| order.drop_after_start = Some(true)),
-        fault(3, |order| order.refuse_all = Some(true)),
-        fault(4, |order| order.late_ms = Some(1_500)),
-        // Its hung tasks hold their slots for good.
-        fault(5, |order| order.hang = Some(true)),
+        fault(0, |update| update.fail_all = Some(true)),
+        fault(1, |update| update.wrong_task = Some(true)),
+        fault(2, |update| update.drop_after_start = Some(true)),
+        fault(3, |update| update.refuse_all = Some(true)),
+        fault(4, |update| update.late_ms = Some(1_500)),
+        // Hung tasks never release their slots.
+        fault(5, |update| update.hang = Some(true)),
     ]
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn workers_that_misbehave_start_nothing_twice_and_cross_no_answers() {
-    let size = DeploymentOptions {
+async fn faulty_workers_cause_no_double_starts_or_wrong_results() {
+    let options = DeploymentOptions {
         workers_per_domain: faults().len(),
         ..DeploymentOptions::default()
     };
-    let deployment = Deployment::start(size).await;
+    let deployment = Deployment::start(options).await;
     let callers = Callers::start(&deployment.client, vec![0, 1, 2], PERIOD_MS);
     let requests_at = |worker: usize| {
         let name = deployment.workers[0].addresses[worker].to_string();
@@ -60,33 +59,36 @@
         let starts = starts.iter().filter(|start| start.worker == name).count();
         starts as u64 + deployment.workers[0].counters().refused_ordered
     };
-    for (order, end) in faults() {
-        let worker = order.worker.unwrap();
+    for (start, end) in faults() {
+        let worker = start.worker.unwrap();
         let before = requests_at(worker);
-        deployment.update_worker_faults(&order);
-        wait_until("the fault is felt", async || requests_at(worker) > before).await;
-        sleep(FAULT).await;
+        deployment.update_worker_faults(&start);
+        wait_until("the faulty worker gets a request", async || {
+            requests_at(worker) > before
+        })
+        .await;
+        sleep(FAULT_DURATION).await;
         deployment.update_worker_faults(&end);
         deployment.wait_until_serving().await;
     }
     assert!(callers.finish().await.complete > 50);
-    let tally = deployment.check_history();
-    assert!(tally.count(&["task_failed"]) > 0, "{tally:?}");
-    assert!(tally.count(&["task_lost"]) > 0, "{tally:?}");
+    let outcomes = deployment.check_history();
+    assert!(outcomes.count(&["task_failed"]) > 0, "{outcomes:?}");
+    assert!(outcomes.count(&["task_lost"]) > 0, "{outcomes:?}");
     let counters = deployment.workers[0].counters();
     assert!(counters.failed > 0 && counters.dropped > 0, "{counters:?}");
     assert!(counters.refused_ordered > 0, "{counters:?}");
 }
 
-/// Status, reason and verdict of an answer.
-fn word(answer: &Value) -> (Value, String, Value) {
+/// Status, reason and verdict of a response.
+fn status_reason_and_verdict(answer: &Value) -> (Value, String, Value) {
     let status = answer["status"].clone();
     (status, reason_of(answer), answer["verdict"].clone())
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn a_failed_job_is_told_alike_through_every_instance() {
-    let all = WorkerFaultUpdate {
+async fn failed_job_is_reported_equally_by_every_instance() {
+    let none = WorkerFaultUpdate {
         fail_all: Some(false),
         wrong_task: Some(false),
         drop_after_start: Some(false),
@@ -94,22 +96,22 @@
     };
     let fail = WorkerFaultUpdate {
         fail_all: Some(true),
-        ..all.clone()
+        ..none.clone()
     };
-    let cross = WorkerFaultUpdate {
+    let wrong_task = WorkerFaultUpdate {
         wrong_task: Some(true),
-        ..all.clone()
+        ..none.clone()
     };
-    let close = WorkerFaultUpdate {
+    let drop_after_start = WorkerFaultUpdate {
         drop_after_start: Some(true),
-        ..all.clone()
+        ..none.clone()
     };
     let deployment = Deployment::start(DeploymentOptions::default()).await;
     let client = &deployment.client;
     let faults = [
         (fail, "task_failed"),
-        (cross, "task_lost"),
-        (close, "task_lost"),
+        (wrong_task, "task_lost"),
+        (drop_after_start, "task_lost"),
     ];
     for (fault, reason) in faults {
         deployment.update_worker_faults(&fault);
@@ -121,17 +123,21 @@
             assert_eq!(reason_of(&first), reason, "{first}");
             assert_ne!(first["verdict"], "not_run", "{first}");
             for answer in client.resubmit_through_others(owner, &job).await {
-                assert_eq!(word(&answer), word(&first), "{answer}");
+                assert_eq!(
+                    status_reason_and_verdict(&answer),
+                    status_reason_and_verdict(&first),
+                    "{answer}"
+                );
             }
         }
-        deployment.update_worker_faults(&all);
+        deployment.update_worker_faults(&none);
         deployment.wait_until_serving().await;
     }
     deployment.check_history();
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn a_key_reused_with_another_body_runs_the_first_alone() {
+async fn key_reused_with_another_body_runs_only_the_first_body() {
     let deployment = Deployment::start(DeploymentOptions::default()).await;
     let client = &deployment.client;
     for entry in 0..3 {
@@ -148,7 +154,7 @@
             assert_eq!(answer["replayed"], true, "{answer}");
         }
     }
-    // Both bodies at once, through every instance: whichever comes first.
+    // Both bodies are submitted concurrently through every instance; either may win.
     for round in 0..6 {
         let key = client.new_key(round % 3, round % 2 == 0).await.unwrap();
         let mut submissions = JoinSet::new();
@@ -175,7 +181,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn a_burst_and_a_wave_of_cancellations_are_answered_truthfully() {
+async fn burst_with_cancellations_gets_true_verdicts() {
     const JOBS: usize = 150;
     let deployment = Deployment::start(DeploymentOptions::default()).await;
     let mut jobs = JoinSet::new();
@@ -185,14 +191,14 @@
             let entry = number % 3;
             let key = client.new_key(entry, number % 2 == 0).await.unwrap();
             let job = client.job(&key, 10, 100);
-            let submitted = client.submit(entry, &job);
-            let cancelled = async {
+            let submission = client.submit(entry, &job);
+            let cancellation = async {
                 if number % 3 == 0 {
                     sleep(Duration::from_millis(400)).await;
                     client.cancel((entry + 1) % 3, &job).await;
                 }
             };
-            let (answer, ()) = tokio::join!(submitted, cancelled);
+            let (answer, ()) = tokio::join!(submission, cancellation);
             client.resubmit_through_others(entry, &job).await;
             answer
         });
@@ -200,8 +206,8 @@
     let answers = jobs.join_all().await;
     assert!(answers.iter().all(|answer| !answer.is_null()));
     deployment.wait_until_serving().await;
-    let tally = deployment.check_history();
-    assert!(tally.count(&["complete"]) > 0, "{tally:?}");
-    assert!(tally.count(&["overload", "quota"]) > 0, "{tally:?}");
-    assert!(tally.count(&["cancelled"]) > 0, "{tally:?}");
+    let outcomes = deployment.check_history();
+    assert!(outcomes.count(&["complete"]) > 0, "{outcomes:?}");
+    assert!(outcomes.count(&["overload", "quota"]) > 0, "{outcomes:?}");
+    assert!(outcomes.count(&["cancelled"]) > 0, "{outcomes:?}");
 }
--- a/tests/testsuite/leaving_servers.rs
+++ b/tests/testsuite/leaving_servers.rs
@@ -1,5 +1,5 @@
-//! Backend servers that are to leave: no new work after a short time at every
-//! instance, and what runs there ends.
+//! Backend servers that are leaving or removed get no new tasks from any instance
+//! after a short time, and their running tasks end normally.
 
 use std::fs;
 use std::path::Path;
@@ -16,14 +16,14 @@
 use crate::support::deployment::{DOMAINS, Deployment, DeploymentOptions, SERVICE, wait_until};
 
 const PERIOD_MS: u64 = 10;
-/// Longest time from the command's begin to the last start.
+/// Longest time from the start of the command to the last task start.
 const LAST_START_MAX_MS: u64 = 3_000;
-/// How long starts are watched beyond that.
-const WATCHED: Duration = Duration::from_millis(3_500);
-/// Starts at each server before anything changes.
-const WARM_STARTS: usize = 20;
+/// Time after the command for which task starts are observed.
+const OBSERVATION_TIME: Duration = Duration::from_millis(3_500);
+/// Task starts at each server before the test changes anything.
+const WARM_UP_STARTS: usize = 20;
 
-async fn ctl(deployment: &Deployment, args: &[&str]) -> Output {
+async fn run_ctl(deployment: &Deployment, args: &[&str]) -> Output {
     let entries: Vec<String> = deployment
         .client
         .entries
@@ -37,12 +37,12 @@
         .output()
         .await
         .unwrap();
-    let said = String::from_utf8_lossy(&output.stderr);
-    assert!(output.status.success(), "{args:?}: {said}");
+    let stderr = String::from_utf8_lossy(&output.stderr);
+    assert!(output.status.success(), "{args:?}: {stderr}");
     output
 }
 
-fn server(deployment: &Deployment, index: usize, state: &str) -> Value {
+fn backend_server(deployment: &Deployment, index: usize, state: &str) -> Value {
     json!({
         "kind": "backend_server", "name": format!("{}-{index}", DOMAINS[0]),
         "spec": {
@@ -54,45 +54,52 @@
 
 async fn apply(deployment: &Deployment, resource: &Value) {
     let name = resource["name"].as_str().unwrap();
-    let own = deployment.client.entries[0]
+    let deployment_id = deployment.client.entries[0]
         .to_string()
         .replace([':', '.'], "-");
     let directory = Path::new(env!("CARGO_TARGET_TMPDIR"));
-    let file = directory.join(format!("leaving-{own}-{name}.json"));
+    let file = directory.join(format!("leaving-{deployment_id}-{name}.json"));
     fs::write(&file, resource.to_string()).unwrap();
-    ctl(deployment, &["apply", "-f", file.to_str().unwrap()]).await;
+    run_ctl(deployment, &["apply", "-f", file.to_str().unwrap()]).await;
     fs::remove_file(&file).unwrap();
 }
 
-/// Unix times of the starts at one backend server, milliseconds.
-fn starts_at(deployment: &Deployment, index: usize) -> Vec<u64> {
+/// Unix times of the task starts at a backend server, in milliseconds.
+fn start_times(deployment: &Deployment, index: usize) -> Vec<u64> {
     let name = deployment.workers[0].addresses[index].to_string();
     let starts = deployment.starts().into_iter();
-    let own = starts.filter(|start| start.worker == name);
-    own.map(|start| start.wall_ms).collect()
+    let starts = starts.filter(|start| start.worker == name);
+    starts.map(|start| start.wall_ms).collect()
 }
 
-/// Time from `since_ms` to the last start there; 0 for none after it.
+/// Time from `since_ms` to the last task start at a backend server; 0 if there is
+/// none after `since_ms`.
 fn last_start_ms(deployment: &Deployment, index: usize, since_ms: u64) -> u64 {
-    let last = starts_at(deployment, index).into_iter().max();
+    let last = start_times(deployment, index).into_iter().max();
     last.unwrap_or_default().saturating_sub(since_ms)
 }
 
-async fn warm(deployment: &Deployment) {
-    wait_until("every server gets work", async || {
-        (0..4).all(|index| starts_at(deployment, index).len() >= WARM_STARTS)
+async fn warm_up(deployment: &Deployment) {
+    wait_until("every server runs tasks", async || {
+        (0..4).all(|index| start_times(deployment, index).len() >= WARM_UP_STARTS)
     })
     .await;
 }
 
-/// Others go on; those at `index` ended, and every job was answered whole.
-async fn check_gone(deployment: &Deployment, callers: Callers, index: usize, since_ms: u64) {
-    sleep(WATCHED).await;
-    let others = starts_at(deployment, (index + 1) % 4).into_iter();
+/// Checks that task starts stopped only at the backend server `index`, that none of
+/// its tasks was interrupted, and that no job failed.
+async fn check_no_new_tasks(
+    deployment: &Deployment,
+    callers: Callers,
+    index: usize,
+    since_ms: u64,
+) {
+    sleep(OBSERVATION_TIME).await;
+    let others = start_times(deployment, (index + 1) % 4).into_iter();
     let late = others.filter(|at_ms| *at_ms > since_ms + LAST_START_MAX_MS);
-    assert!(late.count() > WARM_STARTS);
+    assert!(late.count() > WARM_UP_STARTS);
     let last_ms = last_start_ms(deployment, index, since_ms);
-    eprintln!("last start {last_ms} ms after the command began");
+    eprintln!("last task start {last_ms} ms after the command started");
     assert!(last_ms < LAST_START_MAX_MS, "{last_ms}");
     callers.finish().await;
     let dropped = deployment
@@ -100,43 +107,43 @@
         .iter()
         .filter(|start| start.dropped)
         .count();
-    assert_eq!(dropped, 0, "a task was cut off at its backend server");
-    let tally = deployment.check_history();
+    assert_eq!(dropped, 0, "a task was interrupted at its backend server");
+    let outcomes = deployment.check_history();
     let failures = ["task_failed", "deadline", "answer_lost", "owner_lost"];
-    assert_eq!(tally.count(&failures), 0, "{tally:?}");
+    assert_eq!(outcomes.count(&failures), 0, "{outcomes:?}");
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn a_server_declared_leaving_gets_no_new_work() {
+async fn leaving_server_gets_no_new_tasks() {
     let deployment = Deployment::start(DeploymentOptions::default()).await;
     let callers = Callers::start(&deployment.client, vec![0, 1, 2], PERIOD_MS);
-    warm(&deployment).await;
+    warm_up(&deployment).await;
     let declared_ms = unix_ms();
-    apply(&deployment, &server(&deployment, 0, "leaving")).await;
-    check_gone(&deployment, callers, 0, declared_ms).await;
+    apply(&deployment, &backend_server(&deployment, 0, "leaving")).await;
+    check_no_new_tasks(&deployment, callers, 0, declared_ms).await;
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn a_server_removed_gets_no_new_work() {
+async fn removed_server_gets_no_new_tasks() {
     let deployment = Deployment::start(DeploymentOptions::default()).await;
     let callers = Callers::start(&deployment.client, vec![0, 1, 2], PERIOD_MS);
-    warm(&deployment).await;
+    warm_up(&deployment).await;
     let name = format!("{}-1", DOMAINS[0]);
     let declared_ms = unix_ms();
-    ctl(&deployment, &["delete", "backend-server", &name]).await;
-    check_gone(&deployment, callers, 1, declared_ms).await;
+    run_ctl(&deployment, &["delete", "backend-server", &name]).await;
+    check_no_new_tasks(&deployment, callers, 1, declared_ms).await;
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn the_declaration_spreads_while_the_store_is_down() {
+async fn leaving_state_propagates_while_the_store_is_down() {
     let deployment = Deployment::start(DeploymentOptions::default()).await;
     let callers = Callers::start(&deployment.client, vec![0, 1, 2], PERIOD_MS);
-    warm(&deployment).await;
+    warm_up(&deployment).await;
     let declared_ms = unix_ms();
-    apply(&deployment, &server(&deployment, 2, "leaving")).await;
+    apply(&deployment, &backend_server(&deployment, 2, "leaving")).await;
     deployment.update_platform_faults(&FaultUpdate {
         down: Some(true),
         ..FaultUpdate::default()
     });
-    check_gone(&deployment, callers, 2, declared_ms).await;
+    check_no_new_tasks(&deployment, callers, 2, declared_ms).await;
 }
--- a/tests/testsuite/metrics.rs
+++ b/tests/testsuite/metrics.rs
@@ -1,4 +1,4 @@
-//! The metrics page of running instances, and the operators' page about it.
+//! The metrics page of running instances, and its description in docs/OPERATIONS.md.
 
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -19,12 +19,12 @@
 use crate::support::pair::InstancePair;
 
 const OPERATIONS: &str = include_str!("../../docs/OPERATIONS.md");
-/// Past the second after which an entry asks a key's owner again.
-const SLOW_MS: u64 = 1_300;
-const STEP: Duration = Duration::from_millis(20);
-const STEPS_MAX: u32 = 250;
+/// Longer than the time after which an entry asks the owner of a key again.
+const SLOW_RUN_MS: u64 = 1_300;
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
+const POLLS_MAX: u32 = 250;
 
-/// A worker that takes the milliseconds that a payload names.
+/// A backend server that runs each task for the `run_ms` of its payload.
 pub(crate) struct Worker {
     pub(crate) address: SocketAddr,
     server: JoinHandle<std::io::Result<()>>,
@@ -56,50 +56,55 @@
     Ok("1")
 }
 
-async fn pair(worker: &Worker) -> InstancePair {
+async fn start_pair(worker: &Worker) -> InstancePair {
     InstancePair::start(worker.address, |settings| {
         Telemetry::start(settings).unwrap()
     })
     .await
 }
 
-/// Value of the series `name` with `label` on a page.
-fn value(page: &str, name: &str, label: &str) -> Option<f64> {
+/// Value of the first series of `name` that has `label`.
+fn series_value(page: &str, name: &str, label: &str) -> Option<f64> {
     let start = format!("{name}{{");
     let mut lines = page.lines();
     let line = lines.find(|line| line.starts_with(&start) && line.contains(label))?;
     line.rsplit(' ').next()?.parse().ok()
 }
 
-/// Sum of a series over both pages.
-fn sum(pages: &[String; 2], name: &str, label: &str) -> f64 {
-    let values = pages.iter().filter_map(|page| value(page, name, label));
+/// Sum of [`series_value`] over both pages.
+fn series_sum(pages: &[String; 2], name: &str, label: &str) -> f64 {
+    let values = pages
+        .iter()
+        .filter_map(|page| series_value(page, name, label));
     values.sum()
 }
 
-/// Both pages, once they are as wished.
-async fn pages_when(pair: &InstancePair, fits: impl Fn(&[String; 2]) -> bool) -> [String; 2] {
-    for _ in 0..STEPS_MAX {
+/// Polls both metrics pages until `matches` accepts them.
+async fn wait_for_pages(
+    pair: &InstancePair,
+    matches: impl Fn(&[String; 2]) -> bool,
+) -> [String; 2] {
+    for _ in 0..POLLS_MAX {
         let pages = [pair.metrics_page(0).await, pair.metrics_page(1).await];
-        if fits(&pages) {
+        if matches(&pages) {
             return pages;
         }
-        tokio::time::sleep(STEP).await;
+        tokio::time::sleep(POLL_INTERVAL).await;
     }
-    panic!("the pages never showed what was expected");
+    panic!("timed out waiting for the expected metrics");
 }
 
-/// Names and kinds of all metrics on a page, without their values.
-fn kinds(page: &str) -> String {
+/// Names and types of the metrics on a page.
+fn metric_types(page: &str) -> String {
     let lines = page.lines().filter_map(|line| line.strip_prefix("# TYPE "));
-    let ours: BTreeSet<_> = lines.filter(|line| line.starts_with("trefoil_")).collect();
-    ours.into_iter().map(|line| format!("{line}\n")).collect()
+    let types: BTreeSet<_> = lines.filter(|line| line.starts_with("trefoil_")).collect();
+    types.into_iter().map(|line| format!("{line}\n")).collect()
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn page_of_an_instance_that_took_a_job() {
+async fn page_has_the_documented_metrics_after_a_job() {
     let worker = Worker::start().await;
-    let pair = pair(&worker).await;
+    let pair = start_pair(&worker).await;
     let client = Client::default();
     let refused = client.post(pair.entries[0], "/v1/jobs", "{}");
     assert_eq!(refused.await.unwrap().status.as_u16(), 400, "without a key");
@@ -107,14 +112,14 @@
     for entry in pair.entries {
         pair.submit(entry, &key, "").await;
     }
-    let resubmitted = |pages: &[String; 2]| {
-        let resubmission = sum(pages, "trefoil_wasted_messages_total", "resubmission");
-        let serving = sum(pages, "trefoil_instances", "state=\"serving\"");
+    let is_settled = |pages: &[String; 2]| {
+        let resubmission = series_sum(pages, "trefoil_wasted_messages_total", "resubmission");
+        let serving = series_sum(pages, "trefoil_instances", "state=\"serving\"");
         resubmission >= 1.0 && serving == 4.0
     };
-    let pages = pages_when(&pair, resubmitted).await;
+    let pages = wait_for_pages(&pair, is_settled).await;
     for page in &pages {
-        for (name, label, least) in [
+        for (name, label, min) in [
             ("trefoil_store_calls_total", "range", 1.0),
             ("trefoil_store_calls_total", "watch", 1.0),
             ("trefoil_peer_messages_total", "sent", 1.0),
@@ -124,8 +129,8 @@
             ("trefoil_slots_owned", "", 1.0),
             ("trefoil_admission_lead_ms", "", 1.0),
         ] {
-            let found = value(page, name, label);
-            assert!(found >= Some(least), "{name} {label}: {found:?}\n{page}");
+            let found = series_value(page, name, label);
+            assert!(found >= Some(min), "{name} {label}: {found:?}\n{page}");
         }
     }
     for (name, label) in [
@@ -135,10 +140,10 @@
         ("trefoil_results_bytes", ""),
         ("trefoil_admission_overhead_us_count", ""),
     ] {
-        assert!(sum(&pages, name, label) >= 1.0, "{name} {label}");
+        assert!(series_sum(&pages, name, label) >= 1.0, "{name} {label}");
     }
-    let kinds = kinds(&pages.concat());
-    for name in kinds.lines().filter_map(|line| line.split(' ').next()) {
+    let types = metric_types(&pages.concat());
+    for name in types.lines().filter_map(|line| line.split(' ').next()) {
         assert!(OPERATIONS.contains(&format!("`{name}`")), "{name}");
     }
     expect![[r#"
@@ -171,13 +176,13 @@
         trefoil_wasted_messages_total counter
         trefoil_workers_ejected gauge
     "#]]
-    .assert_eq(&kinds);
+    .assert_eq(&types);
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn messages_between_instances_that_bring_nothing_are_counted() {
+async fn misrouted_and_stale_peer_messages_are_counted() {
     let worker = Worker::start().await;
-    let pair = pair(&worker).await;
+    let pair = start_pair(&worker).await;
     let me = InstanceRef {
         name: "stranger".to_owned(),
         incarnation: 1,
@@ -199,7 +204,7 @@
         wait: true,
         ..ForwardJob::default()
     };
-    let unasked = JobAnswer {
+    let unexpected_answer = JobAnswer {
         request_id: u64::MAX,
         key,
         ..JobAnswer::default()
@@ -208,28 +213,33 @@
         let name = format!("entry-{}", index + 1);
         links.set_peer(&name, address);
         links.send(&name, Body::ForwardJob(job.clone())).unwrap();
-        links.send(&name, Body::JobAnswer(unasked.clone())).unwrap();
+        links
+            .send(&name, Body::JobAnswer(unexpected_answer.clone()))
+            .unwrap();
     }
-    let wasted = |page: &str, kind| value(page, "trefoil_wasted_messages_total", kind);
+    let wasted = |page: &str, kind| series_value(page, "trefoil_wasted_messages_total", kind);
     let mut misrouted = 0.0;
     for entry in pair.entries {
-        let stale = |page: &str| wasted(page, "stale_peer_message") >= Some(1.0);
-        let page = pair.wait_for_response(entry, "/metrics", stale).await;
+        let has_stale = |page: &str| wasted(page, "stale_peer_message") >= Some(1.0);
+        let page = pair.wait_for_response(entry, "/metrics", has_stale).await;
         misrouted += wasted(&page, "misrouted").unwrap();
     }
-    assert_eq!(misrouted, 1.0, "the key has one owner of the two");
+    assert_eq!(misrouted, 1.0, "one of the two instances owns the key");
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn a_forwarded_job_of_over_a_second_is_asked_for_again() {
+async fn entry_asks_again_about_a_slow_forwarded_job() {
     let worker = Worker::start().await;
-    let pair = pair(&worker).await;
+    let pair = start_pair(&worker).await;
     let key = pair.mint_key().await;
-    let slow = |entry| pair.submit_payload(entry, &key, json!({"run_ms": SLOW_MS}));
-    tokio::join!(slow(pair.entries[0]), slow(pair.entries[1]));
+    let submit_slow_job = |entry| pair.submit_payload(entry, &key, json!({"run_ms": SLOW_RUN_MS}));
+    tokio::join!(
+        submit_slow_job(pair.entries[0]),
+        submit_slow_job(pair.entries[1])
+    );
     let name = "trefoil_wasted_messages_total";
-    let pages = pages_when(&pair, |pages| sum(pages, name, "reasked") >= 1.0).await;
-    let mut reasked = pages.map(|page| value(&page, name, "reasked").unwrap());
+    let pages = wait_for_pages(&pair, |pages| series_sum(pages, name, "reasked") >= 1.0).await;
+    let mut reasked = pages.map(|page| series_value(&page, name, "reasked").unwrap());
     reasked.sort_by(f64::total_cmp);
     assert_eq!(reasked, [0.0, 1.0]);
 }
