--- a/tests/testsuite/support/api_stub.rs
+++ b/tests/testsuite/support/api_stub.rs
@@ -186,7 +186,7 @@
     name: &str,
     state: InstanceStateName,
     revision: u64,
-    last_heard_ms: u64,
+    heard_ms: u64,
 ) -> InstanceStatus {
     InstanceStatus {
         instance: name.to_owned(),
@@ -194,7 +194,7 @@
         failure_domain: "portmore".to_owned(),
         state,
         config_revision: revision,
-        heard_ms: last_heard_ms,
+        heard_ms,
     }
 }
 
--- a/tests/testsuite/support/deployment.rs
+++ b/tests/testsuite/support/deployment.rs
@@ -457,13 +457,13 @@
     let domain_index = |name: &str| DOMAINS.iter().position(|domain| *domain == name).unwrap();
     for instance in instances.iter_mut() {
         let from_domain = domain_index(&instance.domain);
-        for (to, peer) in all.iter().enumerate() {
+        for (to_instance, peer) in all.iter().enumerate() {
             if peer.name == instance.name {
                 continue;
             }
             let existing = links
                 .iter()
-                .find(|link| link.from_domain == from_domain && link.to_instance == to);
+                .find(|link| link.from_domain == from_domain && link.to_instance == to_instance);
             let dial_address = match (existing, peer.domain == instance.domain) {
                 (_, true) => String::new(),
                 (Some(link), false) => link.relay.address.to_string(),
@@ -472,7 +472,7 @@
                     let address = relay.address.to_string();
                     links.push(InterDomainLink {
                         from_domain,
-                        to_instance: to,
+                        to_instance,
                         relay,
                     });
                     address
