--- a/tests/testsuite/leaving_servers.rs
+++ b/tests/testsuite/leaving_servers.rs
@@ -86,8 +86,8 @@
     .await;
 }
 
-/// Checks that task starts stopped only at the backend server `index`, that none of
-/// its tasks was interrupted, and that no job failed.
+/// Checks that task starts stopped at the backend server `index` and continued at
+/// another, that no task was interrupted, and that no job failed.
 async fn check_no_new_tasks(
     deployment: &Deployment,
     callers: Callers,
