--- a/src/peers.rs
+++ b/src/peers.rs
@@ -177,7 +177,7 @@
 
     /// Whether the newest view contains this instance.
     pub(crate) fn in_view(&self) -> bool {
-        self.membership().in_force()
+        self.membership().in_newest_view()
     }
 
     /// Starts to leave: new keys go to other instances, while requests for existing
--- a/src/peers/driver.rs
+++ b/src/peers/driver.rs
@@ -88,7 +88,7 @@
     /// the load on the store grow with their number.
     fn update_list_polling(&self) {
         let membership = self.membership();
-        let in_force = membership.in_force();
+        let in_force = membership.in_newest_view();
         let mut peers = membership.status().into_iter();
         let silent =
             peers.any(|peer| peer.domain == self.domain && peer.state == PeerState::Silent);
--- a/src/peers/forward.rs
+++ b/src/peers/forward.rs
@@ -53,7 +53,7 @@
         arrival: Arrival,
     ) -> JobAnswer {
         let owner = match self.route(&submission.key) {
-            Route::Here => {
+            Route::Local => {
                 return self.context.runtime.submit(submission, wait, arrival).await;
             }
             Route::Peer(owner) => owner,
@@ -101,7 +101,7 @@
                     .recall(key, None, &OwnerRequest::Fetch { wait_ms })
                     .await;
             }
-            Route::Here | Route::Unknown { .. } => {
+            Route::Local | Route::Unknown { .. } => {
                 return self.context.runtime.fetch(key, wait_ms).await;
             }
         };
@@ -115,7 +115,7 @@
         let owner = match self.route(key) {
             Route::Peer(owner) => owner,
             Route::OwnerLost => return self.recall(key, None, &OwnerRequest::Cancel).await,
-            Route::Here | Route::Unknown { .. } => return self.context.runtime.cancel(key).await,
+            Route::Local | Route::Unknown { .. } => return self.context.runtime.cancel(key).await,
         };
         self.request_owner(&owner, key, &OwnerRequest::Cancel, SHORT_REQUEST_MS)
             .await
--- a/src/peers/handover.rs
+++ b/src/peers/handover.rs
@@ -98,7 +98,7 @@
     pub(crate) fn announce_departure(self: &Arc<Self>) {
         let mut commands = Vec::new();
         let mut membership = self.membership();
-        membership.say_gone(&mut commands);
+        membership.announce_exit(&mut commands);
         for command in commands {
             self.execute(command);
         }
@@ -124,11 +124,11 @@
         let scopes = match proof {
             true => self
                 .scopes()
-                .handed_on(&self.local_member, own_scope, remembered.from_ms),
+                .outgoing_scopes(&self.local_member, own_scope, remembered.from_ms),
             false => Vec::new(),
         };
         let mut by_successor = jobs_by_successor(&known.log, &self.local_member, remembered.jobs);
-        for successor in known.log.heirs(&self.local_member) {
+        for successor in known.log.successors(&self.local_member) {
             by_successor.entry(successor).or_default();
         }
         let transfer = |(to, jobs)| Transfer {
@@ -244,7 +244,7 @@
         let membership = self.membership();
         let known = membership.view_log(&self.domain);
         let newest = known.and_then(|known| known.log.newest());
-        newest.is_some_and(|view| !view.has(member))
+        newest.is_some_and(|view| !view.contains(member))
     }
 
     /// Passes an acknowledgement to its transfer.
@@ -280,7 +280,7 @@
         let accepted = refused == 0;
         if accepted && part.last {
             let window_ms = self.context.settings.jobs.key_window_ms;
-            scopes.forget_before(now.wall_ms.saturating_sub(window_ms));
+            scopes.expire_before(now.wall_ms.saturating_sub(window_ms));
             part.scopes.iter().for_each(|scope| scopes.insert(scope));
         }
         drop(scopes);
