--- a/src/peers/handover.rs
+++ b/src/peers/handover.rs
@@ -122,9 +122,10 @@
         };
         let own_scope = membership.handover_scope(remembered.from_ms);
         let scopes = match proof {
-            true => self
-                .scopes()
-                .outgoing_scopes(&self.local_member, own_scope, remembered.from_ms),
+            true => {
+                self.scopes()
+                    .outgoing_scopes(&self.local_member, own_scope, remembered.from_ms)
+            }
             false => Vec::new(),
         };
         let mut by_successor = jobs_by_successor(&known.log, &self.local_member, remembered.jobs);
