--- a/src/peers/handover.rs
+++ b/src/peers/handover.rs
@@ -95,7 +95,7 @@
 
     /// Notifies the other instances that this one ends, so that they send requests to
     /// its successors.
-    pub(crate) fn announce_departure(self: &Arc<Self>) {
+    pub(crate) fn announce_exit(self: &Arc<Self>) {
         let mut commands = Vec::new();
         let mut membership = self.membership();
         membership.announce_exit(&mut commands);
--- a/src/server/parts.rs
+++ b/src/server/parts.rs
@@ -217,6 +217,6 @@
 async fn hand_over(context: Arc<Context>, parts: Arc<Parts>, hold: Hold) {
     let left = context.stop.budget_left().saturating_sub(CLOSE_RESERVE);
     parts.peers.hand_over(left.min(HANDOVER_MAX)).await;
-    parts.peers.announce_departure();
+    parts.peers.announce_exit();
     drop(hold);
 }
