--- a/src/peers.rs
+++ b/src/peers.rs
@@ -165,7 +165,7 @@
 
     /// Whether this instance has taken over all remembered jobs of the key's owner.
     /// Such an owner accepts no more jobs, even if its last heartbeat is recent and
-    /// its departure message is delayed or lost.
+    /// its exit message is delayed or lost.
     fn has_taken_over(&self, key: &JobKey) -> bool {
         let succession = self.membership().succession(key);
         succession.is_some_and(|(succession, version)| {
--- a/src/peers/driver.rs
+++ b/src/peers/driver.rs
@@ -88,12 +88,12 @@
     /// the load on the store grow with their number.
     fn update_list_polling(&self) {
         let membership = self.membership();
-        let in_force = membership.in_newest_view();
+        let in_view = membership.in_newest_view();
         let mut peers = membership.status().into_iter();
         let silent =
             peers.any(|peer| peer.domain == self.domain && peer.state == PeerState::Silent);
         drop(membership);
-        let poll = self.watches_store.load(Ordering::Relaxed) || !in_force || silent;
+        let poll = self.watches_store.load(Ordering::Relaxed) || !in_view || silent;
         self.context
             .list_polling
             .send_if_modified(|polling| std::mem::replace(polling, poll) != poll);
--- a/tests/testsuite/leaving.rs
+++ b/tests/testsuite/leaving.rs
@@ -90,12 +90,12 @@
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn six_instances_replaced_one_by_one_lose_and_double_nothing() {
-    let size = DeploymentOptions {
+    let options = DeploymentOptions {
         domains: 2,
         announce_ms: ANNOUNCE_MS,
         ..DeploymentOptions::default()
     };
-    let mut deployment = Deployment::start(size).await;
+    let mut deployment = Deployment::start(options).await;
     let balancer = LoadBalancer::start(&deployment.client);
     let all: Vec<usize> = (0..6).collect();
     let callers = Callers::start(&deployment.client, all.clone(), PERIOD_MS);
@@ -121,12 +121,12 @@
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn two_instances_leave_at_once() {
-    let size = DeploymentOptions {
+    let options = DeploymentOptions {
         instances_per_domain: 4,
         announce_ms: ANNOUNCE_MS,
         ..DeploymentOptions::default()
     };
-    let mut deployment = Deployment::start(size).await;
+    let mut deployment = Deployment::start(options).await;
     let _balancer = LoadBalancer::start(&deployment.client);
     let callers = Callers::start(&deployment.client, vec![0, 1, 2, 3], PERIOD_MS);
     let mut completed = completed_jobs(&deployment, 1, 3).await;
@@ -173,11 +173,11 @@
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn a_stop_while_the_store_is_down_is_bounded_and_still_hands_over() {
-    let size = DeploymentOptions {
+    let options = DeploymentOptions {
         announce_ms: ANNOUNCE_MS,
         ..DeploymentOptions::default()
     };
-    let mut deployment = Deployment::start(size).await;
+    let mut deployment = Deployment::start(options).await;
     let jobs = completed_jobs(&deployment, LEAVING, 2).await;
     let _balancer = LoadBalancer::start(&deployment.client);
     let callers = Callers::start(&deployment.client, vec![0, 2], PERIOD_MS);
