--- a/examples/caller_overhead.rs
+++ b/examples/caller_overhead.rs
@@ -27,7 +27,7 @@
 use trefoil_schema::settings::{JobSettings, WorkerSettings};
 use trefoilbay::http::caller::{self, CallerContext};
 use trefoilbay::runtime::dispatch::{Dispatch, fingerprint};
-use trefoilbay::runtime::{Arrival, Runtime};
+use trefoilbay::runtime::{RequestContext, Runtime};
 use trefoilbay::util::clock::Clock;
 use trefoilbay::workers::{WorkerCall, WorkerClient};
 
@@ -218,7 +218,7 @@
 
 async fn submit(runtime: &Arc<Runtime>, tasks: usize) {
     let answer = runtime
-        .submit(submission(tasks), true, Arrival::default())
+        .submit(submission(tasks), true, RequestContext::default())
         .await;
     let complete =
         matches!(&answer, JobAnswer::Known { state, .. } if *state == JobState::Complete);
--- a/src/http/caller.rs
+++ b/src/http/caller.rs
@@ -25,7 +25,7 @@
 use trefoil_schema::api::KeysResponse;
 use trefoil_schema::settings::JobSettings;
 
-use crate::runtime::Arrival;
+use crate::runtime::RequestContext;
 use crate::runtime::dispatch::Dispatch;
 use crate::util::telemetry::trace::{Hop, note_answer};
 use answer::Asked;
@@ -106,12 +106,12 @@
         Ok(key) => key,
         Err(error) => return error.respond(),
     };
-    let (job, whole_at) = match read_job(request, body, &context).await {
+    let (job, received_at) = match read_job(request, body, &context).await {
         Ok(read) => read,
         Err(error) => return refuse_form(&context, &key, error).await,
     };
     let job = job.into_checked(key.clone(), &context.jobs, arrived);
-    let answer = enter(&context.dispatch, job, request.headers(), whole_at).await;
+    let answer = enter(&context.dispatch, job, request.headers(), received_at).await;
     answer::respond(&key, Asked::Submit, answer)
 }
 
@@ -120,7 +120,7 @@
     dispatch: &Dispatch,
     job: CheckedJob,
     headers: &HeaderMap,
-    whole_at: Instant,
+    received_at: Instant,
 ) -> JobAnswer {
     let given = request::traceparent(headers);
     let mut span = dispatch.span(Hop::Entry, given.as_deref());
@@ -128,11 +128,11 @@
         span.set("service", job.submission.service.to_string());
         span.set("tasks", job.submission.tasks.len() as i64);
     }
-    let arrival = Arrival {
+    let request = RequestContext {
         traceparent: span.header(given),
-        whole_at: Some(whole_at),
+        received_at: Some(received_at),
     };
-    let answer = dispatch.submit(job.submission, job.wait, arrival).await;
+    let answer = dispatch.submit(job.submission, job.wait, request).await;
     note_answer(&mut span, &answer);
     answer
 }
@@ -144,10 +144,10 @@
     context: &CallerContext,
 ) -> Result<(JobSubmission, Instant), FormError> {
     let bytes = request::read_body(request.headers(), body, &context.jobs).await?;
-    let whole_at = Instant::now();
+    let received_at = Instant::now();
     let job = JobSubmission::parse(&bytes)?;
     job.check(&context.jobs, &context.dispatch.config())?;
-    Ok((job, whole_at))
+    Ok((job, received_at))
 }
 
 /// Refuses a request under a good key, with what is known of the key.
--- a/src/peers.rs
+++ b/src/peers.rs
@@ -52,7 +52,7 @@
 
 use crate::links::{LinkError, LinkSettings, Links};
 use crate::runtime::Runtime;
-use crate::server::stop::StopControl;
+use crate::server::drain::DrainController;
 use crate::sources::config::ConfigHandle;
 use crate::sources::instances::InstanceList;
 use crate::sources::platform::PlatformStore;
@@ -98,7 +98,7 @@
     /// The engine of this instance.
     pub runtime: Arc<Runtime>,
     /// Counts what a planned stop waits for.
-    pub stop: Arc<StopControl>,
+    pub stop: Arc<DrainController>,
     /// The root logger.
     pub log: Logger,
 }
--- a/src/peers/forward.rs
+++ b/src/peers/forward.rs
@@ -16,7 +16,7 @@
 
 use super::{Peers, convert};
 use crate::links::LinkError;
-use crate::runtime::Arrival;
+use crate::runtime::RequestContext;
 use crate::util::clock::whole_ms;
 use crate::util::telemetry::trace::{Hop, note_answer};
 
@@ -46,10 +46,15 @@
 
 impl Peers {
     /// Submits a job at the owner of its key.
-    pub async fn submit(&self, submission: Submission, wait: bool, arrival: Arrival) -> JobAnswer {
+    pub async fn submit(
+        &self,
+        submission: Submission,
+        wait: bool,
+        request: RequestContext,
+    ) -> JobAnswer {
         let owner = match self.route(&submission.key) {
             Route::Here => {
-                return self.context.runtime.submit(submission, wait, arrival).await;
+                return self.context.runtime.submit(submission, wait, request).await;
             }
             Route::Peer(owner) => owner,
             Route::OwnerLost => {
@@ -66,11 +71,11 @@
         let mut span = self
             .context
             .runtime
-            .span(Hop::Peer, arrival.traceparent.as_deref());
+            .span(Hop::Peer, request.traceparent.as_deref());
         if span.is_taken() {
             span.set("peer", owner.name.clone());
         }
-        let traceparent = span.header(arrival.traceparent);
+        let traceparent = span.header(request.traceparent);
         let traceparent = traceparent.as_deref().unwrap_or_default();
         let limit_ms = submission.timeout_ms + ANSWER_GRACE_MS;
         let ask = Ask::Submit {
--- a/src/peers/serve.rs
+++ b/src/peers/serve.rs
@@ -13,7 +13,7 @@
 
 use super::{Peers, convert, forward};
 use crate::links::Incoming;
-use crate::runtime::Arrival;
+use crate::runtime::RequestContext;
 use crate::util::telemetry::trace::{Hop, note_answer};
 
 /// When an entry should ask again that came to the wrong owner.
@@ -99,29 +99,29 @@
 
     /// Runs a job, within a span below the one of the instance that sent it.
     async fn run_job(self: &Arc<Self>, from: &InstanceRef, job: ForwardJob) -> JobAnswer {
-        let whole_at = Some(Instant::now());
+        let received_at = Some(Instant::now());
         let header = job.traceparent.as_str();
         let given = (!header.is_empty()).then(|| Arc::<str>::from(header));
         let mut span = self.context.runtime.span(Hop::PeerServed, given.as_deref());
         if span.is_taken() {
             span.set("peer", from.name.clone());
         }
-        let arrival = Arrival {
+        let request = RequestContext {
             traceparent: span.header(given),
-            whole_at,
+            received_at,
         };
-        let answer = self.admit_job(job, arrival).await;
+        let answer = self.admit_job(job, request).await;
         note_answer(&mut span, &answer);
         answer
     }
 
-    async fn admit_job(self: &Arc<Self>, job: ForwardJob, arrival: Arrival) -> JobAnswer {
+    async fn admit_job(self: &Arc<Self>, job: ForwardJob, request: RequestContext) -> JobAnswer {
         let wait = job.wait;
         let Ok(submission) = convert::submission(job) else {
             return JobAnswer::Refused(forward::unknown_owner(0));
         };
         match self.route(&submission.key) {
-            Route::Here => self.context.runtime.submit(submission, wait, arrival).await,
+            Route::Here => self.context.runtime.submit(submission, wait, request).await,
             Route::OwnerLost => {
                 let fingerprint = Some(submission.fingerprint);
                 self.recall_here(&submission.key, fingerprint).await
--- a/src/runtime.rs
+++ b/src/runtime.rs
@@ -45,11 +45,11 @@
 
 /// What came with a submission besides the job.
 #[derive(Clone, Debug, Default)]
-pub struct Arrival {
+pub struct RequestContext {
     /// W3C trace context to pass on.
     pub traceparent: Option<Arc<str>>,
     /// When the request was whole here; its admission is timed from then.
-    pub whole_at: Option<Instant>,
+    pub received_at: Option<Instant>,
 }
 
 /// The engine of this instance with its clock, its waiters and its workers.
@@ -143,17 +143,17 @@
         self: &Arc<Self>,
         submission: Submission,
         wait: bool,
-        arrival: Arrival,
+        request: RequestContext,
     ) -> JobAnswer {
         let key = submission.key.clone();
         let forget_ms = self.now().mono_ms + submission.timeout_ms;
-        let traced = arrival
+        let traced = request
             .traceparent
             .is_some_and(|traceparent| self.traces.insert(&key, traceparent, forget_ms));
         let submit = |waiter, out: &mut Vec<Command>| {
             self.engine
                 .submit(self.now(), submission, waiter, wait, out);
-            self.time_admission(arrival.whole_at);
+            self.time_admission(request.received_at);
         };
         let answer = self.answer(key.clone(), submit).await;
         if traced && !is_running(&answer) {
@@ -162,9 +162,9 @@
         answer
     }
 
-    fn time_admission(&self, whole_at: Option<Instant>) {
-        if let (Some(telemetry), Some(whole_at)) = (&self.telemetry, whole_at) {
-            let overhead_us = whole_at.elapsed().as_secs_f64() * 1e6;
+    fn time_admission(&self, received_at: Option<Instant>) {
+        if let (Some(telemetry), Some(received_at)) = (&self.telemetry, received_at) {
+            let overhead_us = received_at.elapsed().as_secs_f64() * 1e6;
             telemetry.counters().admitted(overhead_us);
         }
     }
--- a/src/runtime/dispatch.rs
+++ b/src/runtime/dispatch.rs
@@ -9,7 +9,7 @@
 use trefoil_core::membership::Route;
 use xxhash_rust::xxh3::Xxh3;
 
-use super::{Arrival, Runtime};
+use super::{RequestContext, Runtime};
 use crate::peers::Peers;
 use crate::util::telemetry::trace::{Hop, HopSpan};
 
@@ -38,12 +38,17 @@
     }
 
     /// Submits a job; with `wait` the answer comes when the job is final.
-    pub async fn submit(&self, submission: Submission, wait: bool, arrival: Arrival) -> JobAnswer {
+    pub async fn submit(
+        &self,
+        submission: Submission,
+        wait: bool,
+        request: RequestContext,
+    ) -> JobAnswer {
         let started = Instant::now();
         let service = Arc::clone(&submission.service);
         let answer = match &self.peers {
-            Some(peers) => peers.submit(submission, wait, arrival).await,
-            None => self.runtime.submit(submission, wait, arrival).await,
+            Some(peers) => peers.submit(submission, wait, request).await,
+            None => self.runtime.submit(submission, wait, request).await,
         };
         let windows = self.runtime.service_windows();
         let mono_ms = self.runtime.now().mono_ms;
--- a/src/server.rs
+++ b/src/server.rs
@@ -4,11 +4,11 @@
 //! [`Context`] is what handlers and tasks share.
 
 pub mod conditions;
+pub mod drain;
 pub mod health;
 mod observe;
 pub mod parts;
 mod report;
-pub mod stop;
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -27,8 +27,8 @@
 use crate::peers::PeersError;
 use crate::util::clock::Clock;
 use crate::util::telemetry::Telemetry;
+use drain::DrainController;
 use parts::Parts;
-use stop::StopControl;
 
 /// Longest wait for connections to close once nothing is in flight.
 const CLOSE_MAX: Duration = Duration::from_millis(500);
@@ -70,7 +70,7 @@
     /// The clocks of every decision.
     pub clock: Clock,
     /// What is in flight, and the planned stop.
-    pub stop: Arc<StopControl>,
+    pub drain: Arc<DrainController>,
     configured: AtomicBool,
     in_view: AtomicBool,
 }
@@ -79,13 +79,13 @@
     /// The context of an instance that serves.
     pub fn new(settings: Settings, log: Logger, telemetry: Telemetry) -> Self {
         let clock = Clock::start();
-        let stop = Arc::new(StopControl::new(clock, &settings.drain));
+        let drain = Arc::new(DrainController::new(clock, &settings.drain));
         Self {
             settings,
             log,
             telemetry,
             clock,
-            stop,
+            drain,
             configured: AtomicBool::new(false),
             in_view: AtomicBool::new(false),
         }
@@ -126,7 +126,7 @@
     let ending = serve(&context, &parts, acceptor).await;
     info!(context.log, "stopped"; "ending" => %ending);
     if ending == Ending::Drained {
-        let limit = context.stop.budget_left();
+        let limit = context.drain.budget_left();
         context.telemetry.stop(limit).await;
     }
     Ok(ending)
@@ -150,10 +150,10 @@
         Some(CLOSE_MAX),
     );
     let server = tokio::spawn(server);
-    let ending = context.stop.finished(&context.log).await;
+    let ending = context.drain.finished(&context.log).await;
     if ending == Ending::Drained {
         drop(close);
-        let limit = CLOSE_MAX.min(context.stop.budget_left());
+        let limit = CLOSE_MAX.min(context.drain.budget_left());
         close_within(server, limit, &context.log).await;
     }
     ending
@@ -176,12 +176,12 @@
 /// announced, answers also close their connections: a request that came over
 /// a kept one at the very end would be cut off.
 async fn track<E: Endpoint>(next: Arc<E>, request: Request) -> poem::Result<Response> {
-    let stop = request
+    let drain = request
         .data()
-        .map(|context: &Arc<Context>| context.stop.clone());
-    let guard = stop.as_ref().map(|stop| stop.track());
+        .map(|context: &Arc<Context>| context.drain.clone());
+    let guard = drain.as_ref().map(|drain| drain.track());
     let mut response = next.get_response(request).await;
-    if stop.is_some_and(|stop| stop.state() != DrainState::Serving) {
+    if drain.is_some_and(|drain| drain.state() != DrainState::Serving) {
         let close = HeaderValue::from_static("close");
         response.headers_mut().insert(header::CONNECTION, close);
     }
@@ -193,16 +193,20 @@
     let failed = |source| ServerError::Signals { source };
     let terminate = signal(SignalKind::terminate()).map_err(failed)?;
     let interrupt = signal(SignalKind::interrupt()).map_err(failed)?;
-    tokio::spawn(forward_signals(context.stop.clone(), terminate, interrupt));
+    tokio::spawn(forward_signals(context.drain.clone(), terminate, interrupt));
     Ok(())
 }
 
-async fn forward_signals(stop: Arc<StopControl>, mut terminate: Signal, mut interrupt: Signal) {
-    while !matches!(stop.state(), DrainState::Finished(_)) {
+async fn forward_signals(
+    drain: Arc<DrainController>,
+    mut terminate: Signal,
+    mut interrupt: Signal,
+) {
+    while !matches!(drain.state(), DrainState::Finished(_)) {
         tokio::select! {
             _ = terminate.recv() => {}
             _ = interrupt.recv() => {}
         }
-        stop.signal();
+        drain.signal();
     }
 }
--- a/src/server/stop.rs
+++ b/src/server/drain.rs
@@ -14,7 +14,7 @@
 
 /// Counts work in flight and steps the drain.
 #[derive(Debug)]
-pub struct StopControl {
+pub struct DrainController {
     clock: Clock,
     drain: Mutex<Drain>,
     accepts: AtomicBool,
@@ -26,7 +26,7 @@
 /// Work in flight until it is dropped.
 #[derive(Debug)]
 pub struct InFlight {
-    control: Arc<StopControl>,
+    control: Arc<DrainController>,
 }
 
 impl Drop for InFlight {
@@ -43,7 +43,7 @@
 /// drops it when the stop may finish as far as that part is concerned.
 #[derive(Debug)]
 pub struct Hold {
-    control: Arc<StopControl>,
+    control: Arc<DrainController>,
 }
 
 impl Drop for Hold {
@@ -53,7 +53,7 @@
     }
 }
 
-impl StopControl {
+impl DrainController {
     /// An instance that serves.
     pub fn new(clock: Clock, settings: &DrainSettings) -> Self {
         Self {
--- a/src/server/health.rs
+++ b/src/server/health.rs
@@ -49,7 +49,7 @@
 
 /// The readiness of an instance.
 pub fn readiness(context: &Context) -> Readiness {
-    let leaving = match context.stop.state() {
+    let leaving = match context.drain.state() {
         DrainState::Serving => None,
         DrainState::Announcing { .. } => Some(NotReady::Leaving),
         DrainState::Refusing { .. } | DrainState::Finished(_) => Some(NotReady::Refusing),
@@ -65,7 +65,7 @@
     Readiness {
         ready: reasons.is_empty(),
         reasons,
-        in_flight: context.stop.in_flight(),
+        in_flight: context.drain.in_flight(),
     }
 }
 
--- a/src/server/parts.rs
+++ b/src/server/parts.rs
@@ -15,8 +15,8 @@
 use trefoil_core::verdict::Verdict;
 
 use super::conditions::Conditions;
+use super::drain::Hold;
 use super::report::Report;
-use super::stop::Hold;
 use super::{Context, ServerError};
 use crate::http::caller::{self, CallerContext};
 use crate::http::operator::{self, OperatorContext};
@@ -74,7 +74,7 @@
             list_polling,
             config: config.clone(),
             runtime: runtime.clone(),
-            stop: context.stop.clone(),
+            stop: context.drain.clone(),
             log: context.log.clone(),
         });
         let peers = peers.map_err(|source| ServerError::Peers { source })?;
@@ -88,7 +88,7 @@
             _ticker: ticker,
         });
         tokio::spawn(follow_config(context.clone(), parts.clone()));
-        let hold = context.stop.hold();
+        let hold = context.drain.hold();
         tokio::spawn(watch_stop(context.clone(), parts.clone(), hold));
         Ok(parts)
     }
@@ -123,7 +123,7 @@
 /// Starts the planned stop of this instance.
 #[handler]
 fn drain(context: Data<&Arc<Context>>) -> Response {
-    let state = context.stop.request();
+    let state = context.drain.request();
     Response::builder()
         .status(StatusCode::ACCEPTED)
         .body(state.to_string())
@@ -136,7 +136,7 @@
 ) -> poem::Result<Response> {
     let context: Option<&Arc<Context>> = request.data();
     let submits = request.method() == Method::POST && request.uri().path() == "/v1/jobs";
-    let accepted = context.map(|context| context.stop.accept());
+    let accepted = context.map(|context| context.drain.accept());
     if submits && matches!(accepted, Some(None)) {
         return Ok(leaving().into_response());
     }
@@ -187,7 +187,7 @@
     let mut report = Report::default();
     loop {
         ticks.tick().await;
-        let state = context.stop.state();
+        let state = context.drain.state();
         if state == DrainState::Serving {
             context.set_in_view(parts.peers.in_force());
         } else if !has_left {
@@ -215,7 +215,7 @@
 
 /// Hands the memory of ended jobs over, then lets the stop finish.
 async fn hand_over(context: Arc<Context>, parts: Arc<Parts>, hold: Hold) {
-    let left = context.stop.budget_left().saturating_sub(CLOSE_RESERVE);
+    let left = context.drain.budget_left().saturating_sub(CLOSE_RESERVE);
     parts.peers.hand_over(left.min(HANDOVER_MAX)).await;
     parts.peers.say_gone();
     drop(hold);
--- a/tests/testsuite/daemon.rs
+++ b/tests/testsuite/daemon.rs
@@ -15,7 +15,7 @@
 use trefoil_core::drain::Ending;
 use trefoil_fakes::platform::{self, PlatformOptions};
 use trefoil_schema::settings::DrainSettings;
-use trefoilbay::server::stop::StopControl;
+use trefoilbay::server::drain::DrainController;
 use trefoilbay::util::clock::Clock;
 
 const STEP: Duration = Duration::from_millis(20);
@@ -161,12 +161,12 @@
     assert!(report.contains("hint: check http_address"), "{report}");
 }
 
-fn control() -> Arc<StopControl> {
+fn control() -> Arc<DrainController> {
     let settings = DrainSettings {
         announce_ms: 200,
         budget_ms: 1_000,
     };
-    Arc::new(StopControl::new(Clock::start(), &settings))
+    Arc::new(DrainController::new(Clock::start(), &settings))
 }
 
 fn no_log() -> Logger {
--- a/tests/testsuite/health.rs
+++ b/tests/testsuite/health.rs
@@ -28,12 +28,12 @@
     tell("configured");
     context.set_in_view(true);
     tell("in a view");
-    let in_flight = context.stop.track();
+    let in_flight = context.drain.track();
     tell("one request");
     context.set_in_view(false);
     tell("out of its view");
-    context.stop.signal();
-    let (stop, log) = (context.stop.clone(), context.log.clone());
+    context.drain.signal();
+    let (stop, log) = (context.drain.clone(), context.log.clone());
     let stepped = tokio::spawn(async move { stop.finished(&log).await });
     tell("stop announced");
     sleep(Duration::from_millis(201)).await;
--- a/tests/testsuite/telemetry_hops.rs
+++ b/tests/testsuite/telemetry_hops.rs
@@ -10,7 +10,7 @@
 use trefoil_core::key::JobKey;
 use trefoil_schema::resources::{BackendServerSpec, BackendServerState, ServiceSpec, TeamSpec};
 use trefoil_schema::settings::WorkerSettings;
-use trefoilbay::runtime::{Arrival, Runtime};
+use trefoilbay::runtime::{RequestContext, Runtime};
 use trefoilbay::util::settings;
 use trefoilbay::util::telemetry::Telemetry;
 use trefoilbay::util::telemetry::trace::TRACEPARENT;
@@ -87,11 +87,11 @@
     runtime.set_domain_members("entry-1", &["entry-1".to_owned()]);
     runtime.set_config(Arc::new(config(address)));
     let submission = submission(runtime.now().wall_ms);
-    let arrival = Arrival {
+    let request = RequestContext {
         traceparent: Some(SAMPLED.into()),
-        whole_at: None,
+        received_at: None,
     };
-    let answer = runtime.submit(submission, true, arrival).await;
+    let answer = runtime.submit(submission, true, request).await;
     server.abort();
     let complete = matches!(answer, JobAnswer::Known { state, .. } if state == JobState::Complete);
     assert!(complete, "{answer:?}");
