--- a/src/http/operator.rs
+++ b/src/http/operator.rs
@@ -17,8 +17,8 @@
 use crate::sources::platform::PlatformStore;
 
 mod precondition;
+mod problems;
 mod read;
-mod refuse;
 mod render;
 mod write;
 
--- a/src/http/operator/read.rs
+++ b/src/http/operator/read.rs
@@ -8,7 +8,7 @@
 use trefoil_schema::resources::StoredResource;
 
 use super::render::{Renderer, Source, Stored, json, tagged};
-use super::{Collection, OperatorContext, refuse};
+use super::{Collection, OperatorContext, problems};
 use crate::sources::platform::KeyValue;
 
 /// Longest wait for the store before what is in force here is shown.
@@ -30,10 +30,10 @@
     let key = collection.key(&name);
     let (found, source) = read_one(&collection.context, &key).await;
     let Some(found) = found else {
-        return refuse::unknown(&key).into_response();
+        return problems::unknown(&key).into_response();
     };
     let Some(stored) = read_value(&found.value, found.revision) else {
-        return refuse::not_a_resource(&key, found.revision).into_response();
+        return problems::not_a_resource(&key, found.revision).into_response();
     };
     tagged(&Renderer::new(&collection.context).render(stored, source))
 }
--- a/src/http/operator/write.rs
+++ b/src/http/operator/write.rs
@@ -13,7 +13,7 @@
 
 use super::precondition::Precondition;
 use super::render::{Renderer, Source, Stored, tagged};
-use super::{Collection, OperatorContext, refuse};
+use super::{Collection, OperatorContext, problems};
 use crate::http::problem::Problem;
 use crate::sources::config::write::{WriteError, replace};
 use crate::sources::platform::KeyValue;
@@ -64,12 +64,16 @@
     headers: &HeaderMap,
     body: Body,
 ) -> Result<Stored, Problem> {
-    let condition = Precondition::from_headers(headers).map_err(refuse::headers)?;
+    let condition = Precondition::from_headers(headers).map_err(problems::headers)?;
     let declared = read_body(body).await?;
-    let resource = checked(key, &declared).map_err(|errors| refuse::invalid(key, errors))?;
+    let resource = checked(key, &declared).map_err(|errors| problems::invalid(key, errors))?;
     let before = current(context, key).await?;
     if !condition.holds(revision(before.as_ref())) {
-        return Err(refuse::precondition(key, before.as_ref(), Some(&declared)));
+        return Err(problems::precondition(
+            key,
+            before.as_ref(),
+            Some(&declared),
+        ));
     }
     if dry_run || is_declared(before.as_ref(), &declared) {
         let revision = revision(before.as_ref());
@@ -79,7 +83,7 @@
     let value = Bytes::from(declared.to_string());
     let revision = store(context, key, before.as_ref(), Some(value))
         .await
-        .map_err(|error| refuse::unwritten(key, &error, Some(&declared)))?;
+        .map_err(|error| problems::unwritten(key, &error, Some(&declared)))?;
     Ok(Stored { resource, revision })
 }
 
@@ -89,13 +93,13 @@
     dry_run: bool,
     headers: &HeaderMap,
 ) -> Result<(), Problem> {
-    let condition = Precondition::from_headers(headers).map_err(refuse::headers)?;
+    let condition = Precondition::from_headers(headers).map_err(problems::headers)?;
     let before = current(context, key).await?;
     if !condition.holds(revision(before.as_ref())) {
-        return Err(refuse::precondition(key, before.as_ref(), None));
+        return Err(problems::precondition(key, before.as_ref(), None));
     }
     if before.is_none() {
-        return Err(refuse::unknown(key));
+        return Err(problems::unknown(key));
     }
     if dry_run {
         return Ok(());
@@ -103,7 +107,7 @@
     store(context, key, before.as_ref(), None)
         .await
         .map(|_| ())
-        .map_err(|error| refuse::unwritten(key, &error, None))
+        .map_err(|error| problems::unwritten(key, &error, None))
 }
 
 async fn store(
@@ -129,16 +133,16 @@
 ) -> Result<Option<KeyValue>, Problem> {
     let store_key = context.config.store_key(key);
     let found = context.store.get(&store_key).await;
-    found.map_err(|error| refuse::unreadable(&error))
+    found.map_err(|error| problems::unreadable(&error))
 }
 
 async fn read_body(body: Body) -> Result<Value, Problem> {
     let bytes = body
         .into_bytes_limit(DECLARATION_BYTES_MAX)
         .await
-        .map_err(|_| refuse::too_large(DECLARATION_BYTES_MAX))?;
+        .map_err(|_| problems::too_large(DECLARATION_BYTES_MAX))?;
     serde_json::from_slice(&bytes)
-        .map_err(|error| refuse::malformed(format!("the body is not JSON: {error}")))
+        .map_err(|error| problems::malformed(format!("the body is not JSON: {error}")))
 }
 
 fn checked(key: &ResourceKey, declared: &Value) -> Result<Resource, Vec<FieldError>> {
--- a/tests/testsuite/api_page.rs
+++ b/tests/testsuite/api_page.rs
@@ -9,7 +9,7 @@
 const PAGE: &str = include_str!("../../docs/API.md");
 const COMMANDS: &str = include_str!("../../crates/core/src/engine/command.rs");
 const FAILURES: &str = include_str!("../../crates/core/src/engine/failure.rs");
-const OPERATOR: &str = include_str!("../../src/http/operator/refuse.rs");
+const OPERATOR: &str = include_str!("../../src/http/operator/problems.rs");
 
 /// Variants of an enum without fields, in snake case, read from its source.
 fn variants(source: &str, name: &str) -> Vec<String> {
