--- a/src/http.rs
+++ b/src/http.rs
@@ -1,4 +1,4 @@
-//! HTTP for callers and operators.
+//! HTTP APIs for callers and operators.
 
 pub mod caller;
 pub mod operator;
--- a/src/http/caller.rs
+++ b/src/http/caller.rs
@@ -1,11 +1,11 @@
-//! The callers' interface: keys and jobs.
+//! The callers' API: idempotency keys and jobs.
 //!
-//! Every refusal is given at once and says whether tasks under the key may
-//! have started. That includes refusals of form: a malformed resubmission of a
-//! key whose job ran is answered with that job's verdict.
+//! Every rejection is sent without delay and carries a verdict: whether tasks
+//! under the key may have started. A malformed resubmission of a key whose job
+//! ran is therefore answered with that job's verdict.
 //!
-//! * [`request`]: from HTTP to a checked submission.
-//! * [`answer`]: from the engine's answer to HTTP.
+//! * [`request`]: parses and validates HTTP requests.
+//! * [`answer`]: renders the engine's answers as HTTP responses.
 
 pub mod answer;
 pub mod request;
@@ -28,31 +28,31 @@
 use crate::runtime::RequestContext;
 use crate::runtime::dispatch::Dispatch;
 use crate::util::telemetry::trace::{Hop, note_answer};
-use answer::Asked;
-use request::{CheckedJob, FormError, JobSubmission};
+use answer::Operation;
+use request::{CheckedJob, JobSubmission, RequestError};
 
-/// Most keys minted by one request.
+/// Maximum number of keys minted by one request.
 const KEYS_MAX: u32 = 10_000;
-/// Draws of a key before one is given out whose owner does not serve.
-const MINT_DRAWS: usize = 8;
+/// Maximum number of random keys tried to find one whose owner is serving.
+const MINT_ATTEMPTS_MAX: usize = 8;
 
-/// What the callers' handlers share.
+/// State shared by the handlers of the callers' API.
 #[derive(Clone)]
 pub struct CallerContext {
-    /// Takes requests to the owner of their key.
+    /// Routes requests to the owner of their key.
     pub dispatch: Dispatch,
-    /// Bounds on jobs.
+    /// Limits on jobs.
     pub jobs: Arc<JobSettings>,
     /// Failure domain that minted keys name.
     pub failure_domain: Arc<str>,
 }
 
-/// Routes for callers, below the server's root.
+/// Creates a router with the callers' routes.
 pub fn routes(context: CallerContext) -> impl IntoEndpoint {
     add_routes(Route::new(), context)
 }
 
-/// `route` with the callers' routes added.
+/// Adds the callers' routes to `route`.
 pub fn add_routes(route: Route, context: CallerContext) -> Route {
     let keys = post(mint_keys).data(context.clone());
     let jobs = post(submit_job).data(context.clone());
@@ -66,11 +66,11 @@
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
 struct MintQuery {
-    #[serde(default = "one")]
+    #[serde(default = "default_count")]
     count: u32,
 }
 
-fn one() -> u32 {
+fn default_count() -> u32 {
     1
 }
 
@@ -78,8 +78,11 @@
 fn mint_keys(request: &Request, context: Data<&CallerContext>) -> Response {
     let count = match request.params::<MintQuery>() {
         Ok(query) if (1..=KEYS_MAX).contains(&query.count) => query.count,
-        Ok(_) => return FormError::malformed(format!("count is not 1 to {KEYS_MAX}")).respond(),
-        Err(error) => return FormError::malformed(error.to_string()).respond(),
+        Ok(_) => {
+            return RequestError::malformed(format!("count must be between 1 and {KEYS_MAX}"))
+                .respond();
+        }
+        Err(error) => return RequestError::malformed(error.to_string()).respond(),
     };
     let issued_ms = context.dispatch.wall_ms();
     let keys = (0..count).map(|_| mint_key(&context, issued_ms).to_string());
@@ -91,45 +94,45 @@
     )
 }
 
-/// A key whose owner serves now, as far as a few draws find one.
+/// Mints a key, preferring one whose owner is currently serving.
 fn mint_key(context: &CallerContext, issued_ms: u64) -> JobKey {
-    let draw = || JobKey::mint(&context.failure_domain, issued_ms, rand::random());
-    let mut draws = std::iter::repeat_with(draw).take(MINT_DRAWS);
-    let owned = draws.find(|key| context.dispatch.is_owned(key));
-    owned.unwrap_or_else(draw)
+    let mint = || JobKey::mint(&context.failure_domain, issued_ms, rand::random());
+    let mut candidates = std::iter::repeat_with(mint).take(MINT_ATTEMPTS_MAX);
+    let owned = candidates.find(|key| context.dispatch.has_owner(key));
+    owned.unwrap_or_else(mint)
 }
 
 #[handler]
 async fn submit_job(request: &Request, body: Body, context: Data<&CallerContext>) -> Response {
-    let arrived = Instant::now();
+    let started_at = Instant::now();
     let key = match request::header_key(request.headers()) {
         Ok(key) => key,
         Err(error) => return error.respond(),
     };
     let (job, received_at) = match read_job(request, body, &context).await {
         Ok(read) => read,
-        Err(error) => return refuse_form(&context, &key, error).await,
+        Err(error) => return reject(&context, &key, error).await,
     };
-    let job = job.into_checked(key.clone(), &context.jobs, arrived);
-    let answer = enter(&context.dispatch, job, request.headers(), received_at).await;
-    answer::respond(&key, Asked::Submit, answer)
+    let job = job.into_checked(key.clone(), &context.jobs, started_at);
+    let answer = submit_traced(&context.dispatch, job, request.headers(), received_at).await;
+    answer::respond(&key, Operation::Submit, answer)
 }
 
-/// Submits a checked job, within a span that later hops get as their parent.
-async fn enter(
+/// Submits a validated job within a span that becomes the parent of later hops.
+async fn submit_traced(
     dispatch: &Dispatch,
     job: CheckedJob,
     headers: &HeaderMap,
     received_at: Instant,
 ) -> JobAnswer {
-    let given = request::traceparent(headers);
-    let mut span = dispatch.span(Hop::Entry, given.as_deref());
+    let parent = request::traceparent(headers);
+    let mut span = dispatch.span(Hop::Entry, parent.as_deref());
     if span.is_taken() {
         span.set("service", job.submission.service.to_string());
         span.set("tasks", job.submission.tasks.len() as i64);
     }
     let request = RequestContext {
-        traceparent: span.header(given),
+        traceparent: span.header(parent),
         received_at: Some(received_at),
     };
     let answer = dispatch.submit(job.submission, job.wait, request).await;
@@ -137,12 +140,12 @@
     answer
 }
 
-/// Reads and checks a job; tells also when its body was whole.
+/// Reads and validates a job; also returns when its body had been received.
 async fn read_job(
     request: &Request,
     body: Body,
     context: &CallerContext,
-) -> Result<(JobSubmission, Instant), FormError> {
+) -> Result<(JobSubmission, Instant), RequestError> {
     let bytes = request::read_body(request.headers(), body, &context.jobs).await?;
     let received_at = Instant::now();
     let job = JobSubmission::parse(&bytes)?;
@@ -150,13 +153,13 @@
     Ok((job, received_at))
 }
 
-/// Refuses a request under a good key, with what is known of the key.
-async fn refuse_form(context: &CallerContext, key: &JobKey, error: FormError) -> Response {
+/// Rejects a request with a valid key, reporting the verdict known for the key.
+async fn reject(context: &CallerContext, key: &JobKey, error: RequestError) -> Response {
     let verdict = match context.dispatch.fetch(key, 0).await {
         JobAnswer::Known { verdict, .. } => verdict,
         JobAnswer::Refused(refusal) => refusal.verdict,
     };
-    error.respond_with(verdict, key)
+    error.respond_for_key(verdict, key)
 }
 
 #[derive(Deserialize)]
@@ -175,12 +178,12 @@
     let wait_ms = match request.params::<FetchQuery>() {
         Ok(query) => query.wait_ms.min(context.jobs.deadline_max_ms),
         Err(error) => {
-            let error = FormError::malformed(error.to_string());
-            return refuse_form(&context, &key, error).await;
+            let error = RequestError::malformed(error.to_string());
+            return reject(&context, &key, error).await;
         }
     };
     let answer = context.dispatch.fetch(&key, wait_ms).await;
-    answer::respond(&key, Asked::State, answer)
+    answer::respond(&key, Operation::Query, answer)
 }
 
 #[handler]
@@ -190,17 +193,17 @@
         Err(error) => return error.respond(),
     };
     let answer = context.dispatch.cancel(&key).await;
-    answer::respond(&key, Asked::State, answer)
+    answer::respond(&key, Operation::Query, answer)
 }
 
-impl FormError {
-    /// The answer where no job can stand behind the request.
+impl RequestError {
+    /// Response to a request that names no valid key.
     fn respond(self) -> Response {
         self.into_problem(Verdict::NotRun).into_response()
     }
 
-    /// The answer where a key is known: this request itself started nothing.
-    fn respond_with(self, verdict: Verdict, key: &JobKey) -> Response {
+    /// Response to a request with a valid key; this request itself started nothing.
+    fn respond_for_key(self, verdict: Verdict, key: &JobKey) -> Response {
         self.into_problem(verdict)
             .request_verdict(Verdict::NotRun)
             .key(key.as_str())
--- a/src/http/caller/answer.rs
+++ b/src/http/caller/answer.rs
@@ -1,4 +1,4 @@
-//! From the engine's answer to HTTP.
+//! Renders the engine's answers as HTTP responses.
 
 use bytes::Bytes;
 use poem::http::{HeaderValue, StatusCode, header};
@@ -13,21 +13,20 @@
 use crate::http::problem::{Problem, verdict_name};
 
 const JSON: HeaderValue = HeaderValue::from_static("application/json");
-/// The caller closed the request: the status of jobs that were cancelled.
-const CLIENT_CLOSED: u16 = 499;
-/// The job completed and its results are no longer kept.
+/// Status of cancelled jobs: the non-standard "client closed request".
+const CLIENT_CLOSED_REQUEST: u16 = 499;
 const RESULT_DROPPED: &str = FailureReason::ResultDropped.name();
 
-/// What the caller asked, which decides how a job's end is told.
+/// What the caller requested, which decides the status for a job's final state.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Asked {
-    /// To have a job done: anything but a whole answer is a problem.
+pub enum Operation {
+    /// Run a job: a job that ended without results is an error.
     Submit,
-    /// How a job stands: its state is the answer.
-    State,
+    /// Get the state of a job: every state is a success.
+    Query,
 }
 
-/// The schema's `JobResponse`, with results passed on as they came.
+/// The schema's `JobResponse`, with results copied unparsed.
 #[derive(Serialize)]
 struct JobBody<'a> {
     key: &'a str,
@@ -44,10 +43,10 @@
     detail: &'a str,
 }
 
-/// The HTTP answer about a key.
-pub fn respond(key: &JobKey, asked: Asked, answer: JobAnswer) -> Response {
+/// Renders the engine's answer about a key.
+pub fn respond(key: &JobKey, operation: Operation, answer: JobAnswer) -> Response {
     match answer {
-        JobAnswer::Refused(refusal) => refused(key, refusal),
+        JobAnswer::Refused(refusal) => refusal_response(key, refusal),
         JobAnswer::Known {
             state,
             verdict,
@@ -58,12 +57,12 @@
             tasks_done,
             tasks_total,
         } => {
-            if let Some(status) = problem_status(state, asked, reason) {
-                return problem(key, status, reason, detail, verdict);
+            if let Some(status) = problem_status(state, operation, reason) {
+                return problem_response(key, status, reason, detail, verdict);
             }
-            let Some(values) = whole(state, &results, tasks_total) else {
-                let detail = "the job completed; its results cannot be given whole".to_owned();
-                return problem(key, StatusCode::GONE, RESULT_DROPPED, detail, verdict);
+            let Some(values) = complete_results(state, &results, tasks_total) else {
+                let detail = "the job completed; some of its results are missing".to_owned();
+                return problem_response(key, StatusCode::GONE, RESULT_DROPPED, detail, verdict);
             };
             let body = JobBody {
                 key: key.as_str(),
@@ -76,13 +75,18 @@
                 reason,
                 detail: &detail,
             };
-            json(status(state, asked), &body)
+            json(status(state, operation), &body)
         }
     }
 }
 
-/// The results if all are there; a job that is not complete has none.
-fn whole(state: JobState, results: &[Bytes], tasks_total: u32) -> Option<Vec<&RawValue>> {
+/// Results of a complete job, `None` if any is missing or is not JSON; empty
+/// for a job in another state.
+fn complete_results(
+    state: JobState,
+    results: &[Bytes],
+    tasks_total: u32,
+) -> Option<Vec<&RawValue>> {
     if state != JobState::Complete {
         return Some(Vec::new());
     }
@@ -93,23 +97,23 @@
     values.collect::<Result<_, _>>().ok()
 }
 
-fn status(state: JobState, asked: Asked) -> StatusCode {
-    match (state, asked) {
-        (JobState::Running, Asked::Submit) => StatusCode::ACCEPTED,
+fn status(state: JobState, operation: Operation) -> StatusCode {
+    match (state, operation) {
+        (JobState::Running, Operation::Submit) => StatusCode::ACCEPTED,
         _ => StatusCode::OK,
     }
 }
 
-/// The status of a job's end that is a problem to whoever asked.
-fn problem_status(state: JobState, asked: Asked, reason: &str) -> Option<StatusCode> {
-    if asked == Asked::State {
+/// Status of a response that is an error; `None` for a success.
+fn problem_status(state: JobState, operation: Operation, reason: &str) -> Option<StatusCode> {
+    if operation == Operation::Query {
         return None;
     }
     match state {
         JobState::Running | JobState::Complete => None,
         JobState::Failed => Some(failed_status(reason)),
         JobState::Cancelled => {
-            Some(StatusCode::from_u16(CLIENT_CLOSED).unwrap_or(StatusCode::BAD_REQUEST))
+            Some(StatusCode::from_u16(CLIENT_CLOSED_REQUEST).unwrap_or(StatusCode::BAD_REQUEST))
         }
     }
 }
@@ -122,7 +126,7 @@
     }
 }
 
-fn refused(key: &JobKey, refusal: Refusal) -> Response {
+fn refusal_response(key: &JobKey, refusal: Refusal) -> Response {
     let reason = refusal.reason.to_string();
     let request_verdict = refusal.request_verdict();
     Problem::new(
@@ -137,7 +141,7 @@
     .into_response()
 }
 
-fn problem(
+fn problem_response(
     key: &JobKey,
     status: StatusCode,
     reason: &str,
@@ -149,7 +153,7 @@
         .into_response()
 }
 
-/// The status that goes with a refusal.
+/// HTTP status of a refusal.
 pub fn refusal_status(reason: RefusalReason) -> StatusCode {
     match reason {
         RefusalReason::Malformed => StatusCode::BAD_REQUEST,
@@ -183,7 +187,7 @@
     }
 }
 
-/// An answer with a JSON body.
+/// A response with a JSON body.
 pub fn json(status: StatusCode, body: &impl Serialize) -> Response {
     let text = serde_json::to_vec(body).unwrap_or_default();
     let mut response = Response::builder().status(status).body(text);
--- a/src/http/caller/request.rs
+++ b/src/http/caller/request.rs
@@ -1,4 +1,4 @@
-//! From HTTP to a checked submission.
+//! Parses and validates callers' requests.
 
 use std::sync::Arc;
 use std::time::Instant;
@@ -24,21 +24,21 @@
 pub const KEY_HEADER: &str = "idempotency-key";
 const TRACEPARENT_HEADER: &str = "traceparent";
 const DEFAULT_TEAM: &str = "default";
-/// Parts a JSON error's text at what would have been right.
-const EXPECTED: &str = ", expected ";
-/// Ends a JSON error's text with a place that the path tells better.
-const PLACE: &str = " at line ";
+/// Precedes the expected value in the text of a JSON error.
+const EXPECTED_SEPARATOR: &str = ", expected ";
+/// Precedes the position in the text of a JSON error.
+const POSITION_SEPARATOR: &str = " at line ";
 
-/// Why a request is refused before it reaches the engine.
+/// Why a request is rejected before it reaches the engine.
 #[derive(Clone, Debug)]
-pub struct FormError {
+pub struct RequestError {
     reason: RefusalReason,
     detail: String,
     errors: Vec<FieldError>,
 }
 
-impl FormError {
-    /// A request without the right form.
+impl RequestError {
+    /// A request that cannot be parsed or has invalid fields.
     pub fn malformed(detail: impl Into<String>) -> Self {
         Self::new(RefusalReason::Malformed, detail)
     }
@@ -51,7 +51,7 @@
         }
     }
 
-    fn field(mut self, path: String, found: String, allowed: String) -> Self {
+    fn with_field(mut self, path: String, found: String, allowed: String) -> Self {
         self.errors.push(FieldError {
             path,
             found,
@@ -60,7 +60,7 @@
         self
     }
 
-    /// The answer, with what is known of the key.
+    /// Converts to problem details with the verdict known for the key.
     pub fn into_problem(self, verdict: Verdict) -> Problem {
         let status = refusal_status(self.reason);
         let reason = self.reason.to_string();
@@ -68,43 +68,43 @@
     }
 }
 
-/// The idempotency key of a submission.
-pub fn header_key(headers: &HeaderMap) -> Result<JobKey, FormError> {
+/// The idempotency key in the headers of a submission.
+pub fn header_key(headers: &HeaderMap) -> Result<JobKey, RequestError> {
     let mut values = headers.get_all(KEY_HEADER).iter();
     let value = values
         .next()
-        .ok_or_else(|| FormError::malformed("the header idempotency-key is missing"))?;
+        .ok_or_else(|| RequestError::malformed("the header idempotency-key is missing"))?;
     if values.next().is_some() {
-        let detail = "the header idempotency-key is there more than once";
-        return Err(FormError::malformed(detail));
+        let detail = "the header idempotency-key occurs more than once";
+        return Err(RequestError::malformed(detail));
     }
     parse_key(value.to_str().unwrap_or_default())
 }
 
 /// The idempotency key in the path.
-pub fn path_key(request: &Request) -> Result<JobKey, FormError> {
+pub fn path_key(request: &Request) -> Result<JobKey, RequestError> {
     let text = request
         .path_params::<String>()
-        .map_err(|error| FormError::malformed(error.to_string()))?;
+        .map_err(|error| RequestError::malformed(error.to_string()))?;
     parse_key(&text)
 }
 
-fn parse_key(text: &str) -> Result<JobKey, FormError> {
-    JobKey::parse(text).map_err(|error| FormError::malformed(error.to_string()))
+fn parse_key(text: &str) -> Result<JobKey, RequestError> {
+    JobKey::parse(text).map_err(|error| RequestError::malformed(error.to_string()))
 }
 
-/// The trace context to pass on.
+/// The W3C trace context in the headers.
 pub fn traceparent(headers: &HeaderMap) -> Option<Arc<str>> {
     let value = headers.get(TRACEPARENT_HEADER)?;
     value.to_str().ok().map(Arc::from)
 }
 
-/// Reads the body, never more than its bound.
+/// Reads the body up to its size limit.
 pub async fn read_body(
     headers: &HeaderMap,
     body: Body,
     jobs: &JobSettings,
-) -> Result<Bytes, FormError> {
+) -> Result<Bytes, RequestError> {
     let bytes_max = jobs.body_bytes_max;
     if declared_length(headers).is_some_and(|length| length > bytes_max) {
         return Err(too_large(bytes_max));
@@ -113,7 +113,7 @@
         .await
         .map_err(|error| match error {
             ReadBodyError::PayloadTooLarge => too_large(bytes_max),
-            error => FormError::malformed(error.to_string()),
+            error => RequestError::malformed(error.to_string()),
         })
 }
 
@@ -122,13 +122,13 @@
     value.to_str().ok()?.parse().ok()
 }
 
-fn too_large(bytes_max: u64) -> FormError {
-    let detail = format!("a body has at most {bytes_max} bytes; split the job");
-    FormError::new(RefusalReason::TooLarge, detail)
+fn too_large(bytes_max: u64) -> RequestError {
+    let detail = format!("the body exceeds {bytes_max} bytes; split the job");
+    RequestError::new(RefusalReason::TooLarge, detail)
 }
 
-/// The schema's `JobRequest`, with payloads left as they came: a payload that
-/// is read into values and written again may differ in its numbers.
+/// The schema's `JobRequest` with unparsed payloads: parsing and serializing a
+/// payload could change its numbers.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
 struct JobBody<'a> {
@@ -160,7 +160,7 @@
     true
 }
 
-/// A submission as its body has it.
+/// A parsed submission that has not been validated.
 #[derive(Clone, Debug)]
 pub struct JobSubmission {
     service: String,
@@ -170,24 +170,24 @@
     tasks: Vec<Task>,
 }
 
-/// A checked submission.
+/// A validated submission.
 #[derive(Clone, Debug)]
 pub struct CheckedJob {
-    /// For the engine.
+    /// Passed to the engine.
     pub submission: Submission,
-    /// Whether to answer when the job is final.
+    /// Whether to delay the response until the job is final.
     pub wait: bool,
 }
 
 impl JobSubmission {
-    /// Reads a body.
-    pub fn parse(bytes: &Bytes) -> Result<Self, FormError> {
+    /// Parses a request body.
+    pub fn parse(bytes: &Bytes) -> Result<Self, RequestError> {
         let mut reader = serde_json::Deserializer::from_slice(bytes);
         let body: JobBody<'_> =
             serde_path_to_error::deserialize(&mut reader).map_err(field_error)?;
         reader
             .end()
-            .map_err(|error| FormError::malformed(error.to_string()))?;
+            .map_err(|error| RequestError::malformed(error.to_string()))?;
         let task = |task: TaskBody<'_>| Task {
             payload: bytes.slice_ref(task.payload.get().as_bytes()),
             declared_run_ms: task.declared_run_ms,
@@ -201,14 +201,14 @@
         })
     }
 
-    /// Checks it against the bounds of this instance and of the service.
-    pub fn check(&self, jobs: &JobSettings, config: &ConfigSnapshot) -> Result<(), FormError> {
+    /// Validates the job against the limits of this instance and its service.
+    pub fn check(&self, jobs: &JobSettings, config: &ConfigSnapshot) -> Result<(), RequestError> {
         self.check_task_count(jobs)?;
         self.check_deadline(jobs)?;
         self.check_payloads(config)
     }
 
-    fn check_task_count(&self, jobs: &JobSettings) -> Result<(), FormError> {
+    fn check_task_count(&self, jobs: &JobSettings) -> Result<(), RequestError> {
         let found = self.tasks.len();
         let reason = match found {
             0 => RefusalReason::Malformed,
@@ -216,22 +216,22 @@
             _ => return Ok(()),
         };
         let allowed = format!("1 to {} tasks", jobs.tasks_max);
-        let error = FormError::new(reason, format!("the job has {found} tasks"));
-        Err(error.field("tasks".to_owned(), format!("{found} tasks"), allowed))
+        let error = RequestError::new(reason, format!("the job has {found} tasks"));
+        Err(error.with_field("tasks".to_owned(), format!("{found} tasks"), allowed))
     }
 
-    fn check_deadline(&self, jobs: &JobSettings) -> Result<(), FormError> {
+    fn check_deadline(&self, jobs: &JobSettings) -> Result<(), RequestError> {
         if self.deadline_ms <= jobs.deadline_max_ms {
             return Ok(());
         }
         let found = self.deadline_ms.to_string();
         let allowed = format!("0 to {}", jobs.deadline_max_ms);
-        let error = FormError::malformed("the deadline is too long");
-        Err(error.field("deadline_ms".to_owned(), found, allowed))
+        let error = RequestError::malformed("the deadline is too long");
+        Err(error.with_field("deadline_ms".to_owned(), found, allowed))
     }
 
-    fn check_payloads(&self, config: &ConfigSnapshot) -> Result<(), FormError> {
-        // An unknown service is for its owner to refuse.
+    fn check_payloads(&self, config: &ConfigSnapshot) -> Result<(), RequestError> {
+        // The owner refuses jobs of unknown services.
         let Some(service) = config.services.get(&*self.service) else {
             return Ok(());
         };
@@ -242,17 +242,17 @@
         };
         let found = format!("{} bytes", self.tasks[index].payload.len());
         let allowed = format!("{bytes_max} bytes");
-        let error = FormError::new(RefusalReason::TooLarge, "a payload is too large");
-        Err(error.field(format!("tasks[{index}].payload"), found, allowed))
+        let error = RequestError::new(RefusalReason::TooLarge, "a payload is too large");
+        Err(error.with_field(format!("tasks[{index}].payload"), found, allowed))
     }
 
-    /// What the engine takes; the deadline counts from `arrived`.
-    pub fn into_checked(self, key: JobKey, jobs: &JobSettings, arrived: Instant) -> CheckedJob {
+    /// Converts to the engine's submission; the deadline counts from `started_at`.
+    pub fn into_checked(self, key: JobKey, jobs: &JobSettings, started_at: Instant) -> CheckedJob {
         let allowed_ms = match self.deadline_ms {
             0 => jobs.deadline_default_ms,
             deadline_ms => deadline_ms,
         };
-        let elapsed_ms = arrived.elapsed().as_millis() as u64;
+        let elapsed_ms = started_at.elapsed().as_millis() as u64;
         let submission = Submission {
             key,
             fingerprint: fingerprint(&self.service, &self.team, &self.tasks),
@@ -268,12 +268,14 @@
     }
 }
 
-fn field_error(error: serde_path_to_error::Error<serde_json::Error>) -> FormError {
+fn field_error(error: serde_path_to_error::Error<serde_json::Error>) -> RequestError {
     let path = error.path().to_string();
     let text = error.into_inner().to_string();
-    let (what, _) = text.rsplit_once(PLACE).unwrap_or((&text, ""));
-    let (found, allowed) = what.split_once(EXPECTED).unwrap_or((what, "JSON"));
+    let (message, _) = text.rsplit_once(POSITION_SEPARATOR).unwrap_or((&text, ""));
+    let (found, allowed) = message
+        .split_once(EXPECTED_SEPARATOR)
+        .unwrap_or((message, "JSON"));
     let (found, allowed) = (found.to_owned(), allowed.to_owned());
-    let detail = format!("the body is wrong at {path}: {text}");
-    FormError::malformed(detail).field(path, found, allowed)
+    let detail = format!("the body is invalid at {path}: {text}");
+    RequestError::malformed(detail).with_field(path, found, allowed)
 }
--- a/src/http/operator.rs
+++ b/src/http/operator.rs
@@ -1,8 +1,8 @@
-//! The operators' resource API.
+//! The operators' API for declared resources.
 //!
-//! Reads of one resource ask the store first and fall back to what is in
-//! force here, and say so; writes need the store. Nothing here decides what a
-//! declaration may be: that is [`trefoil_core::config::check`].
+//! Reads query the store and fall back to the configuration in force here,
+//! which the response reports as a condition. Writes require the store.
+//! Declarations are validated by [`trefoil_core::config::check`].
 
 use std::sync::Arc;
 
@@ -22,28 +22,28 @@
 mod render;
 mod write;
 
-/// Gives the deployment as this instance sees it.
+/// Returns the status of the deployment as known to this instance.
 pub type StatusSource = Arc<dyn Fn() -> StatusResponse + Send + Sync>;
 
-/// Gives further conditions of a resource, such as `Healthy`.
+/// Returns additional conditions of a resource, such as `Healthy`.
 pub type ConditionSource = Arc<dyn Fn(&ResourceKey) -> Vec<Condition> + Send + Sync>;
 
-/// What the operators' API works with.
+/// State shared by the handlers of the operators' API.
 #[derive(Clone)]
 pub struct OperatorContext {
-    /// The configuration in force here.
+    /// The configuration in force at this instance.
     pub config: ConfigHandle,
     /// The platform's store.
     pub store: Arc<dyn PlatformStore>,
-    /// Settings of the store, for pauses between repeats.
+    /// Settings of the store client, for retry delays.
     pub platform: PlatformSettings,
-    /// The deployment as this instance sees it.
+    /// Source of `/v1/status`.
     pub status: StatusSource,
-    /// Further conditions of a resource.
+    /// Source of conditions observed by this instance.
     pub conditions: ConditionSource,
 }
 
-/// The resources of one kind.
+/// All resources of one kind.
 #[derive(Clone)]
 struct Collection {
     context: OperatorContext,
@@ -56,12 +56,12 @@
     ("/v1/backend-servers", Kind::BackendServer),
 ];
 
-/// The operators' routes alone.
+/// Creates a router with the operators' routes.
 pub fn routes(context: OperatorContext) -> Route {
     add_routes(Route::new(), context)
 }
 
-/// `route` with the operators' routes added.
+/// Adds the operators' routes to `route`.
 pub fn add_routes(route: Route, context: OperatorContext) -> Route {
     let status_route = get(status).data(context.status.clone());
     let route = route.at("/v1/status", status_route);
@@ -75,12 +75,12 @@
         context: context.clone(),
         kind,
     };
-    let all = get(read::list).data(collection.clone());
-    let one = get(read::one)
+    let list = get(read::list).data(collection.clone());
+    let one = get(read::get_one)
         .put(write::declare)
         .delete(write::remove)
         .data(collection);
-    route.at(path, all).at(format!("{path}/:name"), one)
+    route.at(path, list).at(format!("{path}/:name"), one)
 }
 
 impl Collection {
--- a/src/http/operator/precondition.rs
+++ b/src/http/operator/precondition.rs
@@ -2,26 +2,26 @@
 
 use poem::http::{HeaderMap, HeaderName, header};
 
-/// What must hold of a resource before it is changed.
+/// State in which a resource must be for a write to proceed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Precondition {
-    /// Nothing.
+    /// Any state.
     None,
-    /// Its declaration is at this revision.
+    /// Declared, at this store revision.
     AtRevision(u64),
-    /// It is declared.
+    /// Declared, at any revision.
     Declared,
-    /// It is not declared.
+    /// Not declared.
     Absent,
 }
 
-/// Why the headers cannot be read, for people.
+/// Why the precondition headers are invalid.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) struct Malformed(pub(super) &'static str);
+pub(super) struct PreconditionError(pub(super) &'static str);
 
 impl Precondition {
-    /// Reads the headers of a request.
-    pub(super) fn from_headers(headers: &HeaderMap) -> Result<Self, Malformed> {
+    /// Parses the headers of a request.
+    pub(super) fn from_headers(headers: &HeaderMap) -> Result<Self, PreconditionError> {
         let matched = text(headers, header::IF_MATCH)?;
         let none_matched = text(headers, header::IF_NONE_MATCH)?;
         match (matched, none_matched) {
@@ -29,14 +29,16 @@
             (Some("*"), None) => Ok(Self::Declared),
             (Some(tag), None) => revision(tag)
                 .map(Self::AtRevision)
-                .ok_or(Malformed("if-match must be \"REVISION\" or *")),
+                .ok_or(PreconditionError("if-match must be \"REVISION\" or *")),
             (None, Some("*")) => Ok(Self::Absent),
-            (None, Some(_)) => Err(Malformed("if-none-match must be *")),
-            (Some(_), Some(_)) => Err(Malformed("if-match and if-none-match exclude each other")),
+            (None, Some(_)) => Err(PreconditionError("if-none-match must be *")),
+            (Some(_), Some(_)) => Err(PreconditionError(
+                "if-match and if-none-match are mutually exclusive",
+            )),
         }
     }
 
-    /// Whether it holds of a resource at `revision`; 0 where it is absent.
+    /// Whether a resource at `revision` (0 if not declared) satisfies it.
     pub(super) fn holds(self, revision: u64) -> bool {
         match self {
             Self::None => true,
@@ -47,14 +49,14 @@
     }
 }
 
-fn text(headers: &HeaderMap, name: HeaderName) -> Result<Option<&str>, Malformed> {
+fn text(headers: &HeaderMap, name: HeaderName) -> Result<Option<&str>, PreconditionError> {
     let Some(value) = headers.get(name) else {
         return Ok(None);
     };
     value
         .to_str()
         .map(|text| Some(text.trim()))
-        .map_err(|_| Malformed("a precondition has characters other than visible ASCII"))
+        .map_err(|_| PreconditionError("a precondition has characters other than visible ASCII"))
 }
 
 fn revision(tag: &str) -> Option<u64> {
--- a/src/http/operator/problems.rs
+++ b/src/http/operator/problems.rs
@@ -1,4 +1,4 @@
-//! Problems of the operators' API.
+//! Error responses of the operators' API.
 
 use derive_more::Display;
 use poem::http::StatusCode;
@@ -8,39 +8,39 @@
 use trefoil_core::verdict::Verdict;
 use trefoil_schema::api::FieldError;
 
-use super::precondition::Malformed;
+use super::precondition::PreconditionError;
 use crate::http::problem::Problem;
 use crate::sources::config::write::WriteError;
 use crate::sources::platform::{KeyValue, StoreError};
 
-/// When to come back after a failure of the store, drawn from this range.
+/// Range of the random `Retry-After` when the store is unreachable.
 const RETRY_MS: std::ops::RangeInclusive<u64> = 500..=1500;
 
-/// Why a request about resources is refused.
+/// Reason of a problem, as sent in its type.
 #[derive(Clone, Copy, Debug, Display)]
 #[display(rename_all = "snake_case")]
 enum Reason {
-    /// The body or a header is malformed.
+    /// The body or a header cannot be parsed.
     Malformed,
-    /// The body exceeds the size bound.
+    /// The body exceeds the size limit.
     TooLarge,
-    /// No such resource is declared.
+    /// The resource is not declared.
     UnknownResource,
-    /// The store has something else under the resource's key.
+    /// The value in the store is not a resource.
     UnreadableResource,
-    /// The resource has wrong fields.
+    /// The resource has invalid fields.
     InvalidResource,
     /// `If-Match` or `If-None-Match` does not hold.
     PreconditionFailed,
-    /// Another change was accepted first.
+    /// A concurrent write was accepted first.
     LostRace,
     /// The store could not be reached; nothing was written.
     StoreUnreachable,
-    /// The write was sent and its end is not known.
+    /// The write was sent and its outcome is unknown.
     WriteUnsettled,
 }
 
-fn refused(
+fn problem(
     status: StatusCode,
     reason: Reason,
     detail: impl Into<String>,
@@ -50,7 +50,7 @@
 }
 
 pub(super) fn malformed(detail: impl Into<String>) -> Problem {
-    refused(
+    problem(
         StatusCode::BAD_REQUEST,
         Reason::Malformed,
         detail,
@@ -58,77 +58,81 @@
     )
 }
 
-pub(super) fn headers(error: Malformed) -> Problem {
+pub(super) fn invalid_precondition(error: PreconditionError) -> Problem {
     malformed(error.0)
 }
 
 pub(super) fn too_large(bytes_max: usize) -> Problem {
-    let detail = format!("a declaration has at most {bytes_max} bytes");
+    let detail = format!("the declaration exceeds {bytes_max} bytes");
     let status = StatusCode::PAYLOAD_TOO_LARGE;
-    refused(status, Reason::TooLarge, detail, Verdict::NotRun)
+    problem(status, Reason::TooLarge, detail, Verdict::NotRun)
 }
 
-pub(super) fn unknown(key: &ResourceKey) -> Problem {
+pub(super) fn not_declared(key: &ResourceKey) -> Problem {
     let detail = format!("{key} is not declared");
     let status = StatusCode::NOT_FOUND;
-    refused(status, Reason::UnknownResource, detail, Verdict::NotRun)
+    problem(status, Reason::UnknownResource, detail, Verdict::NotRun)
 }
 
-/// The store holds something else under the resource's key.
-pub(super) fn not_a_resource(key: &ResourceKey, revision: u64) -> Problem {
+/// The value in the store is not a resource.
+pub(super) fn unreadable_resource(key: &ResourceKey, revision: u64) -> Problem {
     let detail =
-        format!("the stored text of {key} at revision {revision} cannot be read; declare it again");
+        format!("the stored value of {key} at revision {revision} is invalid; declare it again");
     let status = StatusCode::INTERNAL_SERVER_ERROR;
-    refused(status, Reason::UnreadableResource, detail, Verdict::NotRun)
+    problem(status, Reason::UnreadableResource, detail, Verdict::NotRun)
 }
 
-pub(super) fn invalid(key: &ResourceKey, errors: Vec<FieldError>) -> Problem {
+pub(super) fn invalid_resource(key: &ResourceKey, errors: Vec<FieldError>) -> Problem {
     let detail = format!(
-        "{key} has {} wrong fields; nothing was stored",
+        "{key} has {} invalid fields; nothing was stored",
         errors.len()
     );
     let status = StatusCode::UNPROCESSABLE_ENTITY;
-    refused(status, Reason::InvalidResource, detail, Verdict::NotRun).errors(errors)
+    problem(status, Reason::InvalidResource, detail, Verdict::NotRun).errors(errors)
 }
 
-/// The precondition does not hold of what the store has.
-pub(super) fn precondition(
+/// The resource in the store does not satisfy the precondition.
+pub(super) fn precondition_failed(
     key: &ResourceKey,
     current: Option<&KeyValue>,
-    wanted: Option<&Value>,
+    requested: Option<&Value>,
 ) -> Problem {
-    let detail = differs(key, current, wanted);
+    let detail = describe_difference(key, current, requested);
     let status = StatusCode::PRECONDITION_FAILED;
-    refused(status, Reason::PreconditionFailed, detail, Verdict::NotRun)
+    problem(status, Reason::PreconditionFailed, detail, Verdict::NotRun)
 }
 
-/// The store could not be read, before anything was written.
-pub(super) fn unreadable(error: &StoreError) -> Problem {
-    let detail = format!("nothing was stored: {error}; try again when the store is back");
-    unavailable(Reason::StoreUnreachable, detail, Verdict::NotRun)
+/// The store could not be read, so no write was attempted.
+pub(super) fn store_unreachable(error: &StoreError) -> Problem {
+    let detail = format!("nothing was stored: {error}; retry when the store is reachable");
+    service_unavailable(Reason::StoreUnreachable, detail, Verdict::NotRun)
 }
 
 /// The write was not acknowledged.
-pub(super) fn unwritten(key: &ResourceKey, error: &WriteError, wanted: Option<&Value>) -> Problem {
+pub(super) fn write_failed(
+    key: &ResourceKey,
+    error: &WriteError,
+    requested: Option<&Value>,
+) -> Problem {
     match error {
-        WriteError::Conflict { current } => lost_race(key, current.as_ref(), wanted),
+        WriteError::Conflict { current } => conflict(key, current.as_ref(), requested),
         WriteError::NotApplied { .. } => {
-            let detail = format!("{key}: {error}; try again when the store is back");
-            unavailable(Reason::StoreUnreachable, detail, Verdict::NotRun)
+            let detail = format!("{key}: {error}; retry when the store is reachable");
+            service_unavailable(Reason::StoreUnreachable, detail, Verdict::NotRun)
         }
         WriteError::MayHaveApplied { .. } => {
-            let detail = format!("{key}: {error}; read it before you try again");
-            unavailable(Reason::WriteUnsettled, detail, Verdict::MayHaveRun)
+            let detail = format!("{key}: {error}; read it before retrying");
+            service_unavailable(Reason::WriteUnsettled, detail, Verdict::MayHaveRun)
         }
     }
 }
 
-fn lost_race(key: &ResourceKey, current: Option<&KeyValue>, wanted: Option<&Value>) -> Problem {
+fn conflict(key: &ResourceKey, current: Option<&KeyValue>, requested: Option<&Value>) -> Problem {
     let detail = format!(
-        "another change came first: {}",
-        differs(key, current, wanted)
+        "another change was accepted first: {}",
+        describe_difference(key, current, requested)
     );
-    refused(
+    problem(
         StatusCode::CONFLICT,
         Reason::LostRace,
         detail,
@@ -136,22 +140,26 @@
     )
 }
 
-fn unavailable(reason: Reason, detail: String, verdict: Verdict) -> Problem {
+fn service_unavailable(reason: Reason, detail: String, verdict: Verdict) -> Problem {
     let retry_after_ms = rand::random_range(RETRY_MS);
-    refused(StatusCode::SERVICE_UNAVAILABLE, reason, detail, verdict).retry_after_ms(retry_after_ms)
+    problem(StatusCode::SERVICE_UNAVAILABLE, reason, detail, verdict).retry_after_ms(retry_after_ms)
 }
 
-// Where the resource stands and in which fields it differs from the request.
-fn differs(key: &ResourceKey, current: Option<&KeyValue>, wanted: Option<&Value>) -> String {
+/// Describes the current revision and the fields that differ from the request.
+fn describe_difference(
+    key: &ResourceKey,
+    current: Option<&KeyValue>,
+    requested: Option<&Value>,
+) -> String {
     let Some(current) = current else {
-        return format!("{key} is not declared now");
+        return format!("{key} is not declared");
     };
     let revision = current.revision;
     let found: Option<Value> = serde_json::from_slice(&current.value).ok();
-    let (Some(found), Some(wanted)) = (found, wanted) else {
+    let (Some(found), Some(requested)) = (found, requested) else {
         return format!("{key} is at revision {revision}");
     };
-    let paths = changed_paths(&found, wanted);
+    let paths = changed_paths(&found, requested);
     if paths.is_empty() {
         return format!("{key} is at revision {revision}, as requested");
     }
--- a/src/http/operator/render.rs
+++ b/src/http/operator/render.rs
@@ -1,4 +1,4 @@
-//! Resources as the API returns them.
+//! Renders resources as the API returns them.
 
 use poem::http::{HeaderValue, StatusCode, header};
 use poem::{IntoResponse, Response};
@@ -11,19 +11,19 @@
 
 /// A declaration and the store revision that accepted it.
 #[derive(Clone, Debug)]
-pub(super) struct Stored {
+pub(super) struct Declaration {
     pub(super) resource: Resource,
     pub(super) revision: u64,
 }
 
-/// Where a declaration was read.
+/// Where a declaration was read from.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Source {
     Store,
     Memory,
 }
 
-/// Renders resources against one view of the deployment.
+/// Renders resources against one snapshot of the deployment's status.
 pub(super) struct Renderer<'a> {
     context: &'a OperatorContext,
     instances: Vec<InstanceStatus>,
@@ -35,14 +35,16 @@
         Self { context, instances }
     }
 
-    pub(super) fn render(&self, stored: Stored, source: Source) -> StoredResource {
-        let Stored { resource, revision } = stored;
+    pub(super) fn render(&self, declaration: Declaration, source: Source) -> StoredResource {
+        let Declaration { resource, revision } = declaration;
         let snapshot = self.context.config.current();
         let mut status = status(&snapshot, &resource, revision, self.spread(revision));
         let key = ResourceKey::new(resource.kind, resource.name.as_str());
         status.conditions.extend((self.context.conditions)(&key));
         if source == Source::Memory {
-            status.conditions.push(from_memory(snapshot.revision));
+            status
+                .conditions
+                .push(store_unreachable_condition(snapshot.revision));
         }
         StoredResource {
             kind: resource.kind,
@@ -53,7 +55,7 @@
         }
     }
 
-    // An instance that is silent counts as live: it may still serve.
+    // A silent instance counts as live because it may still be serving.
     fn spread(&self, revision: u64) -> Spread {
         let gone = InstanceStateName::Gone;
         let live = self.instances.iter().filter(|one| one.state != gone);
@@ -69,8 +71,8 @@
     }
 }
 
-/// One resource with its `ETag`.
-pub(super) fn tagged(resource: &StoredResource) -> Response {
+/// A JSON response with the resource's revision as `ETag`.
+pub(super) fn json_with_etag(resource: &StoredResource) -> Response {
     let tag = format!("\"{}\"", resource.status.revision);
     let mut response = json(resource);
     if let Ok(tag) = HeaderValue::try_from(tag) {
@@ -79,7 +81,7 @@
     response
 }
 
-/// A body of JSON.
+/// A JSON response.
 pub(super) fn json(body: &impl serde::Serialize) -> Response {
     match serde_json::to_vec(body) {
         Ok(text) => Response::builder()
@@ -89,13 +91,14 @@
     }
 }
 
-fn from_memory(revision: u64) -> Condition {
+fn store_unreachable_condition(revision: u64) -> Condition {
     Condition {
         type_: "Current".to_owned(),
         status: ConditionStatus::Unknown,
         reason: "StoreUnreachable".to_owned(),
         message: format!(
-            "the store cannot be reached; this is in force here as of revision {revision}"
+            "the store cannot be reached; showing the configuration in force here at revision \
+             {revision}"
         ),
     }
 }
--- a/src/http/operator/write.rs
+++ b/src/http/operator/write.rs
@@ -12,13 +12,13 @@
 use trefoil_schema::resources::Resource;
 
 use super::precondition::Precondition;
-use super::render::{Renderer, Source, Stored, tagged};
+use super::render::{Declaration, Renderer, Source, json_with_etag};
 use super::{Collection, OperatorContext, problems};
 use crate::http::problem::Problem;
 use crate::sources::config::write::{WriteError, replace};
 use crate::sources::platform::KeyValue;
 
-/// Largest body of a declaration, in bytes.
+/// Maximum size of a declaration's body, in bytes.
 const DECLARATION_BYTES_MAX: usize = 64 << 10;
 
 #[derive(Deserialize)]
@@ -38,7 +38,7 @@
     let key = collection.key(&name);
     let context = &collection.context;
     match put(context, &key, query.dry_run, headers, body).await {
-        Ok(stored) => tagged(&Renderer::new(context).render(stored, Source::Store)),
+        Ok(found) => json_with_etag(&Renderer::new(context).render(found, Source::Store)),
         Err(problem) => problem.into_response(),
     }
 }
@@ -63,28 +63,29 @@
     dry_run: bool,
     headers: &HeaderMap,
     body: Body,
-) -> Result<Stored, Problem> {
-    let condition = Precondition::from_headers(headers).map_err(problems::headers)?;
+) -> Result<Declaration, Problem> {
+    let condition = Precondition::from_headers(headers).map_err(problems::invalid_precondition)?;
     let declared = read_body(body).await?;
-    let resource = checked(key, &declared).map_err(|errors| problems::invalid(key, errors))?;
-    let before = current(context, key).await?;
+    let resource =
+        validate(key, &declared).map_err(|errors| problems::invalid_resource(key, errors))?;
+    let before = read_current(context, key).await?;
     if !condition.holds(revision(before.as_ref())) {
-        return Err(problems::precondition(
+        return Err(problems::precondition_failed(
             key,
             before.as_ref(),
             Some(&declared),
         ));
     }
-    if dry_run || is_declared(before.as_ref(), &declared) {
+    if dry_run || is_unchanged(before.as_ref(), &declared) {
         let revision = revision(before.as_ref());
-        return Ok(Stored { resource, revision });
+        return Ok(Declaration { resource, revision });
     }
-    // `Value` keeps its fields in order, so equal declarations are equal text.
+    // `Value` sorts its fields, so equal declarations serialize to equal text.
     let value = Bytes::from(declared.to_string());
-    let revision = store(context, key, before.as_ref(), Some(value))
+    let revision = write_value(context, key, before.as_ref(), Some(value))
         .await
-        .map_err(|error| problems::unwritten(key, &error, Some(&declared)))?;
-    Ok(Stored { resource, revision })
+        .map_err(|error| problems::write_failed(key, &error, Some(&declared)))?;
+    Ok(Declaration { resource, revision })
 }
 
 async fn delete(
@@ -93,24 +94,24 @@
     dry_run: bool,
     headers: &HeaderMap,
 ) -> Result<(), Problem> {
-    let condition = Precondition::from_headers(headers).map_err(problems::headers)?;
-    let before = current(context, key).await?;
+    let condition = Precondition::from_headers(headers).map_err(problems::invalid_precondition)?;
+    let before = read_current(context, key).await?;
     if !condition.holds(revision(before.as_ref())) {
-        return Err(problems::precondition(key, before.as_ref(), None));
+        return Err(problems::precondition_failed(key, before.as_ref(), None));
     }
     if before.is_none() {
-        return Err(problems::unknown(key));
+        return Err(problems::not_declared(key));
     }
     if dry_run {
         return Ok(());
     }
-    store(context, key, before.as_ref(), None)
+    write_value(context, key, before.as_ref(), None)
         .await
         .map(|_| ())
-        .map_err(|error| problems::unwritten(key, &error, None))
+        .map_err(|error| problems::write_failed(key, &error, None))
 }
 
-async fn store(
+async fn write_value(
     context: &OperatorContext,
     key: &ResourceKey,
     before: Option<&KeyValue>,
@@ -127,13 +128,13 @@
     .await
 }
 
-async fn current(
+async fn read_current(
     context: &OperatorContext,
     key: &ResourceKey,
 ) -> Result<Option<KeyValue>, Problem> {
     let store_key = context.config.store_key(key);
     let found = context.store.get(&store_key).await;
-    found.map_err(|error| problems::unreadable(&error))
+    found.map_err(|error| problems::store_unreachable(&error))
 }
 
 async fn read_body(body: Body) -> Result<Value, Problem> {
@@ -145,7 +146,7 @@
         .map_err(|error| problems::malformed(format!("the body is not JSON: {error}")))
 }
 
-fn checked(key: &ResourceKey, declared: &Value) -> Result<Resource, Vec<FieldError>> {
+fn validate(key: &ResourceKey, declared: &Value) -> Result<Resource, Vec<FieldError>> {
     let resource = check(declared)?;
     let kind = key.kind.to_string();
     let kind_error = mismatch("kind", &resource.kind.to_string(), &kind);
@@ -157,11 +158,11 @@
     }
 }
 
-fn mismatch(path: &str, found: &str, in_url: &str) -> Option<FieldError> {
-    (found != in_url).then(|| FieldError {
+fn mismatch(path: &str, found: &str, expected: &str) -> Option<FieldError> {
+    (found != expected).then(|| FieldError {
         path: path.to_owned(),
         found: found.to_owned(),
-        allowed: format!("{in_url}, as in the request's path"),
+        allowed: format!("{expected}, as in the path of the request"),
     })
 }
 
@@ -169,7 +170,7 @@
     current.map_or(0, |kv| kv.revision)
 }
 
-fn is_declared(current: Option<&KeyValue>, declared: &Value) -> bool {
+fn is_unchanged(current: Option<&KeyValue>, declared: &Value) -> bool {
     current.is_some_and(|kv| {
         serde_json::from_slice::<Value>(&kv.value).is_ok_and(|found| found == *declared)
     })
--- a/src/http/problem.rs
+++ b/src/http/problem.rs
@@ -1,4 +1,4 @@
-//! Problem details (RFC 9457) that carry a verdict.
+//! Problem details (RFC 9457), extended with a verdict.
 
 use poem::http::{HeaderValue, StatusCode, header};
 use poem::{IntoResponse, Response};
@@ -8,18 +8,18 @@
 const CONTENT_TYPE: HeaderValue = HeaderValue::from_static("application/problem+json");
 const TYPE_PREFIX: &str = "urn:trefoilbay:problem:";
 
-/// The reason of a [`Problem`], kept beside its response for counters.
+/// The reason of a [`Problem`], attached to its response for the metrics.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Reason(pub String);
 
-/// An error answer: status, reason, verdict and when to come back.
+/// Problem details of an error response.
 #[derive(Clone, Debug)]
 pub struct Problem {
     body: api::Problem,
 }
 
 impl Problem {
-    /// A problem named `reason` (one word in snake case).
+    /// A problem whose type ends in `reason`, in snake case.
     pub fn new(
         status: StatusCode,
         reason: &str,
@@ -40,36 +40,36 @@
         Self { body }
     }
 
-    /// What this request alone may have started, where less than earlier
-    /// requests under the key.
+    /// Sets the verdict on this request alone, where it differs from the
+    /// verdict on the key.
     #[must_use]
     pub fn request_verdict(mut self, verdict: Verdict) -> Self {
         self.body.request_verdict = verdict_name(verdict);
         self
     }
 
-    /// Names the idempotency key concerned.
+    /// Sets the idempotency key.
     #[must_use]
     pub fn key(mut self, key: &str) -> Self {
         self.body.key = key.to_owned();
         self
     }
 
-    /// Tells the client when to come back; 0 tells nothing.
+    /// Sets the time after which to retry; 0 sends no `Retry-After`.
     #[must_use]
     pub fn retry_after_ms(mut self, retry_after_ms: u64) -> Self {
         self.body.retry_after_ms = retry_after_ms;
         self
     }
 
-    /// Lists the wrong fields.
+    /// Sets the list of invalid fields.
     #[must_use]
     pub fn errors(mut self, errors: Vec<api::FieldError>) -> Self {
         self.body.errors = errors;
         self
     }
 
-    /// The body as it is sent.
+    /// The body of the response.
     pub fn body(&self) -> &api::Problem {
         &self.body
     }
@@ -96,7 +96,7 @@
     }
 }
 
-/// The verdict as the API's schema names it.
+/// Converts a verdict to the API's type.
 pub fn verdict_name(verdict: Verdict) -> api::Verdict {
     match verdict {
         Verdict::NotRun => api::Verdict::NotRun,
--- a/src/runtime/dispatch.rs
+++ b/src/runtime/dispatch.rs
@@ -78,7 +78,7 @@
     }
 
     /// Whether a job under `key` would find its owner now.
-    pub fn is_owned(&self, key: &JobKey) -> bool {
+    pub fn has_owner(&self, key: &JobKey) -> bool {
         let Some(peers) = &self.peers else {
             return true;
         };
