--- a/src/http/caller.rs
+++ b/src/http/caller.rs
@@ -8,7 +8,7 @@
 //! * [`answer`]: renders the engine's answers as HTTP responses.
 
 pub mod answer;
-pub mod request;
+mod request;
 
 use std::sync::Arc;
 use std::time::Instant;
--- a/src/http/caller/answer.rs
+++ b/src/http/caller/answer.rs
@@ -19,7 +19,7 @@
 
 /// What the caller requested, which decides the status for a job's final state.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Operation {
+pub(super) enum Operation {
     /// Run a job: a job that ended without results is an error.
     Submit,
     /// Get the state of a job: every state is a success.
@@ -44,7 +44,7 @@
 }
 
 /// Renders the engine's answer about a key.
-pub fn respond(key: &JobKey, operation: Operation, answer: JobAnswer) -> Response {
+pub(super) fn respond(key: &JobKey, operation: Operation, answer: JobAnswer) -> Response {
     match answer {
         JobAnswer::Refused(refusal) => refusal_response(key, refusal),
         JobAnswer::Known {
@@ -188,7 +188,7 @@
 }
 
 /// A response with a JSON body.
-pub fn json(status: StatusCode, body: &impl Serialize) -> Response {
+pub(super) fn json(status: StatusCode, body: &impl Serialize) -> Response {
     let text = serde_json::to_vec(body).unwrap_or_default();
     let mut response = Response::builder().status(status).body(text);
     response.headers_mut().insert(header::CONTENT_TYPE, JSON);
--- a/src/http/caller/request.rs
+++ b/src/http/caller/request.rs
@@ -21,7 +21,7 @@
 use crate::runtime::dispatch::fingerprint;
 
 /// Header with the idempotency key.
-pub const KEY_HEADER: &str = "idempotency-key";
+pub(super) const KEY_HEADER: &str = "idempotency-key";
 const TRACEPARENT_HEADER: &str = "traceparent";
 const DEFAULT_TEAM: &str = "default";
 /// Precedes the expected value in the text of a JSON error.
@@ -31,7 +31,7 @@
 
 /// Why a request is rejected before it reaches the engine.
 #[derive(Clone, Debug)]
-pub struct RequestError {
+pub(super) struct RequestError {
     reason: RefusalReason,
     detail: String,
     errors: Vec<FieldError>,
@@ -39,7 +39,7 @@
 
 impl RequestError {
     /// A request that cannot be parsed or has invalid fields.
-    pub fn malformed(detail: impl Into<String>) -> Self {
+    pub(super) fn malformed(detail: impl Into<String>) -> Self {
         Self::new(RefusalReason::Malformed, detail)
     }
 
@@ -61,7 +61,7 @@
     }
 
     /// Converts to problem details with the verdict known for the key.
-    pub fn into_problem(self, verdict: Verdict) -> Problem {
+    pub(super) fn into_problem(self, verdict: Verdict) -> Problem {
         let status = refusal_status(self.reason);
         let reason = self.reason.to_string();
         Problem::new(status, &reason, self.detail, verdict).errors(self.errors)
@@ -69,7 +69,7 @@
 }
 
 /// The idempotency key in the headers of a submission.
-pub fn header_key(headers: &HeaderMap) -> Result<JobKey, RequestError> {
+pub(super) fn header_key(headers: &HeaderMap) -> Result<JobKey, RequestError> {
     let mut values = headers.get_all(KEY_HEADER).iter();
     let value = values
         .next()
@@ -82,7 +82,7 @@
 }
 
 /// The idempotency key in the path.
-pub fn path_key(request: &Request) -> Result<JobKey, RequestError> {
+pub(super) fn path_key(request: &Request) -> Result<JobKey, RequestError> {
     let text = request
         .path_params::<String>()
         .map_err(|error| RequestError::malformed(error.to_string()))?;
@@ -94,13 +94,13 @@
 }
 
 /// The W3C trace context in the headers.
-pub fn traceparent(headers: &HeaderMap) -> Option<Arc<str>> {
+pub(super) fn traceparent(headers: &HeaderMap) -> Option<Arc<str>> {
     let value = headers.get(TRACEPARENT_HEADER)?;
     value.to_str().ok().map(Arc::from)
 }
 
 /// Reads the body up to its size limit.
-pub async fn read_body(
+pub(super) async fn read_body(
     headers: &HeaderMap,
     body: Body,
     jobs: &JobSettings,
@@ -162,7 +162,7 @@
 
 /// A parsed submission that has not been validated.
 #[derive(Clone, Debug)]
-pub struct JobSubmission {
+pub(super) struct JobSubmission {
     service: String,
     team: String,
     deadline_ms: u64,
@@ -172,16 +172,16 @@
 
 /// A validated submission.
 #[derive(Clone, Debug)]
-pub struct CheckedJob {
+pub(super) struct CheckedJob {
     /// Passed to the engine.
-    pub submission: Submission,
+    pub(super) submission: Submission,
     /// Whether to delay the response until the job is final.
-    pub wait: bool,
+    pub(super) wait: bool,
 }
 
 impl JobSubmission {
     /// Parses a request body.
-    pub fn parse(bytes: &Bytes) -> Result<Self, RequestError> {
+    pub(super) fn parse(bytes: &Bytes) -> Result<Self, RequestError> {
         let mut reader = serde_json::Deserializer::from_slice(bytes);
         let body: JobBody<'_> =
             serde_path_to_error::deserialize(&mut reader).map_err(field_error)?;
@@ -202,7 +202,11 @@
     }
 
     /// Validates the job against the limits of this instance and its service.
-    pub fn check(&self, jobs: &JobSettings, config: &ConfigSnapshot) -> Result<(), RequestError> {
+    pub(super) fn check(
+        &self,
+        jobs: &JobSettings,
+        config: &ConfigSnapshot,
+    ) -> Result<(), RequestError> {
         self.check_task_count(jobs)?;
         self.check_deadline(jobs)?;
         self.check_payloads(config)
@@ -247,7 +251,12 @@
     }
 
     /// Converts to the engine's submission; the deadline counts from `started_at`.
-    pub fn into_checked(self, key: JobKey, jobs: &JobSettings, started_at: Instant) -> CheckedJob {
+    pub(super) fn into_checked(
+        self,
+        key: JobKey,
+        jobs: &JobSettings,
+        started_at: Instant,
+    ) -> CheckedJob {
         let allowed_ms = match self.deadline_ms {
             0 => jobs.deadline_default_ms,
             deadline_ms => deadline_ms,
--- a/src/http/problem.rs
+++ b/src/http/problem.rs
@@ -10,7 +10,7 @@
 
 /// The reason of a [`Problem`], attached to its response for the metrics.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Reason(pub String);
+pub(crate) struct Reason(pub(crate) String);
 
 /// Problem details of an error response.
 #[derive(Clone, Debug)]
@@ -97,7 +97,7 @@
 }
 
 /// Converts a verdict to the API's type.
-pub fn verdict_name(verdict: Verdict) -> api::Verdict {
+pub(crate) fn verdict_name(verdict: Verdict) -> api::Verdict {
     match verdict {
         Verdict::NotRun => api::Verdict::NotRun,
         Verdict::MayHaveRun => api::Verdict::MayHaveRun,
--- a/tests/testsuite/caller.rs
+++ b/tests/testsuite/caller.rs
@@ -1,4 +1,4 @@
-//! What callers are told, and how often their tasks start.
+//! Responses of the callers' API, and how often tasks are started.
 
 use std::sync::Arc;
 
@@ -22,7 +22,7 @@
 const DOMAIN: &str = "kingston-1";
 const SERVICE: &str = "payroll";
 
-/// One instance with one worker, in this process.
+/// An in-process instance with one worker.
 struct Instance {
     runtime: Arc<Runtime>,
     context: CallerContext,
@@ -106,7 +106,7 @@
         self.send(request.uri_str(uri).finish()).await
     }
 
-    async fn worker_read(&self, requests: usize) {
+    async fn wait_for_worker_requests(&self, requests: usize) {
         while self.worker.seen().len() < requests {
             tokio::task::yield_now().await;
         }
@@ -145,25 +145,25 @@
     }
 }
 
-fn job(payloads: &[Value]) -> Value {
+fn job_body(payloads: &[Value]) -> Value {
     let task = |payload: &Value| json!({ "payload": payload });
     let tasks: Vec<Value> = payloads.iter().map(task).collect();
     json!({ "service": SERVICE, "tasks": tasks })
 }
 
-fn fresh_key() -> String {
+fn mint_key() -> String {
     let now = std::time::SystemTime::now();
     let issued = now.duration_since(std::time::UNIX_EPOCH).unwrap();
     JobKey::mint(DOMAIN, issued.as_millis() as u64, rand::random()).to_string()
 }
 
 /// A worker that answers each task with its own payload.
-async fn echo() -> ScriptWorker {
-    gated(Arc::new(Semaphore::new(Semaphore::MAX_PERMITS))).await
+async fn echo_worker() -> ScriptWorker {
+    gated_worker(Arc::new(Semaphore::new(Semaphore::MAX_PERMITS))).await
 }
 
-/// A worker that takes a permit for each task, then answers with its payload.
-async fn gated(gate: Arc<Semaphore>) -> ScriptWorker {
+/// An echo worker that acquires a permit of `gate` before each answer.
+async fn gated_worker(gate: Arc<Semaphore>) -> ScriptWorker {
     ScriptWorker::start(move |seen| {
         let gate = Arc::clone(&gate);
         async move {
@@ -179,11 +179,11 @@
 }
 
 #[tokio::test]
-async fn whole_answer_in_order() {
-    let instance = Instance::new(echo().await);
+async fn results_are_returned_in_task_order() {
+    let instance = Instance::new(echo_worker().await);
     let payloads: Vec<Value> = (0..20).map(|index| json!({ "index": index })).collect();
-    let key = fresh_key();
-    let answer = instance.submit(&key, &job(&payloads)).await;
+    let key = mint_key();
+    let answer = instance.submit(&key, &job_body(&payloads)).await;
     assert_eq!(answer.status, StatusCode::OK);
     assert_eq!(answer.body["results"], json!(payloads));
     assert_eq!(answer.body["key"], json!(key));
@@ -197,26 +197,26 @@
 }
 
 #[tokio::test]
-async fn payloads_and_results_pass_byte_for_byte() {
-    let instance = Instance::new(echo().await);
+async fn payloads_and_results_are_passed_on_unchanged() {
+    let instance = Instance::new(echo_worker().await);
     let payload = r#"{"z":1234567890123456789012345.10, "a":1e-7,"a":[ ]}"#;
     let body = format!(r#"{{"service":"{SERVICE}","tasks":[{{"payload":{payload}}}]}}"#);
-    let answer = instance.send(submission(&fresh_key(), body)).await;
+    let answer = instance.send(submission(&mint_key(), body)).await;
     assert_eq!(answer.status, StatusCode::OK, "{}", answer.text);
     assert_eq!(instance.worker.seen()[0].body, payload);
     assert!(answer.text.contains(payload));
 }
 
 #[tokio::test]
-async fn refusals_of_form() {
-    let instance = Instance::new(echo().await);
-    let good = job(&[json!(1)]).to_string();
+async fn malformed_submissions_are_rejected() {
+    let instance = Instance::new(echo_worker().await);
+    let good = job_body(&[json!(1)]).to_string();
     let with = |field: &str, value: Value| {
-        let mut body = job(&[json!(1)]);
+        let mut body = job_body(&[json!(1)]);
         body[field] = value;
         body.to_string()
     };
-    let key = fresh_key();
+    let key = mint_key();
     let rows = [
         ("no key", "", good.clone()),
         ("blank key", " ", good.clone()),
@@ -234,11 +234,15 @@
         ),
         ("long deadline", &key, with("deadline_ms", json!(300_001))),
         ("no tasks", &key, with("tasks", json!([]))),
-        ("many tasks", &key, job(&vec![json!(1); 21]).to_string()),
+        (
+            "many tasks",
+            &key,
+            job_body(&vec![json!(1); 21]).to_string(),
+        ),
         (
             "large payload",
             &key,
-            job(&[json!(1), json!("x".repeat(99))]).to_string(),
+            job_body(&[json!(1), json!("x".repeat(99))]).to_string(),
         ),
         ("large body", &key, " ".repeat(2001)),
         ("unknown service", &key, with("service", json!("customs"))),
@@ -273,12 +277,12 @@
     assert!(instance.worker.seen().is_empty());
 }
 
-/// A body that is declared too large is refused before it is sent.
+/// Guards against reading a body that its `Content-Length` declares too large.
 #[tokio::test]
-async fn declared_length_is_checked_first() {
-    let instance = Instance::new(echo().await);
+async fn content_length_is_checked_before_the_body_is_read() {
+    let instance = Instance::new(echo_worker().await);
     let (_sender, receiver) = tokio::io::duplex(1);
-    let mut request = submission(&fresh_key(), Body::from_async_read(receiver));
+    let mut request = submission(&mint_key(), Body::from_async_read(receiver));
     let headers = request.headers_mut();
     headers.insert("content-length", "2001".parse().unwrap());
     assert_eq!(
@@ -288,12 +292,12 @@
 }
 
 #[tokio::test]
-async fn same_key_at_once_starts_once() {
+async fn concurrent_submissions_under_one_key_start_tasks_once() {
     let gate = Arc::new(Semaphore::new(0));
-    let instance = Instance::new(gated(Arc::clone(&gate)).await);
-    let (key, body) = (fresh_key(), job(&[json!(1), json!(2)]));
+    let instance = Instance::new(gated_worker(Arc::clone(&gate)).await);
+    let (key, body) = (mint_key(), job_body(&[json!(1), json!(2)]));
     let open = async {
-        instance.worker_read(2).await;
+        instance.wait_for_worker_requests(2).await;
         gate.add_permits(100);
     };
     let (first, second, ()) = tokio::join!(
@@ -310,23 +314,23 @@
 }
 
 #[tokio::test]
-async fn reused_key_does_not_run_the_other_body() {
-    let instance = Instance::new(echo().await);
-    let key = fresh_key();
-    instance.submit(&key, &job(&[json!(1)])).await;
-    let answer = instance.submit(&key, &job(&[json!(2)])).await;
+async fn reused_key_with_another_body_is_rejected() {
+    let instance = Instance::new(echo_worker().await);
+    let key = mint_key();
+    instance.submit(&key, &job_body(&[json!(1)])).await;
+    let answer = instance.submit(&key, &job_body(&[json!(2)])).await;
     assert_eq!(answer.status, StatusCode::CONFLICT);
     assert_eq!(instance.worker.seen().len(), 1);
 }
 
-/// A refusal of form under a key that ran does not say "not run".
+/// Guards against a "not run" verdict for a malformed request under a key that ran.
 #[tokio::test]
-async fn malformed_resubmission_tells_what_the_key_did() {
-    let instance = Instance::new(echo().await);
-    let key = fresh_key();
+async fn malformed_resubmission_reports_the_verdict_of_the_key() {
+    let instance = Instance::new(echo_worker().await);
+    let key = mint_key();
     let before = instance.send(submission(&key, "{")).await;
     assert_eq!((before.status.as_u16(), before.verdict()), (400, "not_run"));
-    instance.submit(&key, &job(&[json!(1)])).await;
+    instance.submit(&key, &job_body(&[json!(1)])).await;
     let after = instance.send(submission(&key, "{")).await;
     assert_eq!((after.status.as_u16(), after.verdict()), (400, "ran"));
     assert_eq!(after.body["request_verdict"], json!("not_run"));
@@ -334,13 +338,13 @@
 }
 
 #[tokio::test]
-async fn disconnected_caller_leaves_no_waiter_and_its_job_goes_on() {
+async fn disconnected_caller_removes_its_waiter_but_not_its_job() {
     let gate = Arc::new(Semaphore::new(0));
-    let instance = Instance::new(gated(Arc::clone(&gate)).await);
-    let (key, body) = (fresh_key(), job(&[json!(1)]));
+    let instance = Instance::new(gated_worker(Arc::clone(&gate)).await);
+    let (key, body) = (mint_key(), job_body(&[json!(1)]));
     tokio::select! {
         _ = instance.submit(&key, &body) => panic!("answered early"),
-        () = instance.worker_read(1) => {}
+        () = instance.wait_for_worker_requests(1) => {}
     }
     assert_eq!(instance.runtime.waiters_len(), 0);
     let state = instance.fetch(&key, "").await;
@@ -352,16 +356,16 @@
 }
 
 #[tokio::test]
-async fn state_is_told_at_once_or_when_final() {
+async fn state_is_returned_at_once_or_when_final() {
     let gate = Arc::new(Semaphore::new(0));
-    let instance = Instance::new(gated(Arc::clone(&gate)).await);
-    let key = fresh_key();
+    let instance = Instance::new(gated_worker(Arc::clone(&gate)).await);
+    let key = mint_key();
     let unknown = instance.fetch(&key, "").await;
     assert_eq!(
         (unknown.status.as_u16(), unknown.verdict()),
         (404, "not_run")
     );
-    let mut body = job(&[json!(1)]);
+    let mut body = job_body(&[json!(1)]);
     body["wait"] = json!(false);
     let accepted = instance.submit(&key, &body).await;
     assert_eq!(accepted.status, StatusCode::ACCEPTED);
@@ -376,12 +380,12 @@
 }
 
 #[tokio::test]
-async fn cancelled_job_does_not_start_its_queue() {
+async fn cancelled_job_starts_no_queued_task() {
     let gate = Arc::new(Semaphore::new(0));
-    let instance = Instance::new(gated(Arc::clone(&gate)).await);
-    let (key, body) = (fresh_key(), job(&vec![json!(1); 20]));
+    let instance = Instance::new(gated_worker(Arc::clone(&gate)).await);
+    let (key, body) = (mint_key(), job_body(&vec![json!(1); 20]));
     let cancel = async {
-        instance.worker_read(8).await;
+        instance.wait_for_worker_requests(8).await;
         instance.cancel(&key).await
     };
     let (submitted, cancelled) = tokio::join!(instance.submit(&key, &body), cancel);
@@ -396,33 +400,33 @@
 }
 
 #[tokio::test]
-async fn late_job_fails_whole() {
+async fn job_past_its_deadline_returns_no_partial_results() {
     let gate = Arc::new(Semaphore::new(1));
-    let instance = Instance::new(gated(gate).await);
-    let mut body = job(&[json!(1), json!(2)]);
+    let instance = Instance::new(gated_worker(gate).await);
+    let mut body = job_body(&[json!(1), json!(2)]);
     body["deadline_ms"] = json!(300);
-    let answer = instance.submit(&fresh_key(), &body).await;
+    let answer = instance.submit(&mint_key(), &body).await;
     assert_eq!((answer.status.as_u16(), answer.reason()), (504, "deadline"));
     assert_eq!(answer.verdict(), "may_have_run");
     assert!(answer.body.get("results").is_none());
 }
 
 #[tokio::test]
-async fn refused_by_the_only_worker_is_not_run() {
+async fn job_refused_by_the_only_worker_is_not_run() {
     let refusing = answer("503 Service Unavailable", "", "");
     let instance = Instance::new(ScriptWorker::fixed(&refusing, Then::KeepOpen).await);
-    let mut body = job(&[json!(1)]);
+    let mut body = job_body(&[json!(1)]);
     body["deadline_ms"] = json!(500);
-    let answer = instance.submit(&fresh_key(), &body).await;
+    let answer = instance.submit(&mint_key(), &body).await;
     assert!(answer.status.is_server_error(), "{}", answer.text);
     assert_eq!(answer.verdict(), "not_run", "{}", answer.text);
 }
 
 #[tokio::test]
 async fn retry_after_is_rounded_up() {
-    let instance = Instance::new(echo().await);
+    let instance = Instance::new(echo_worker().await);
     instance.runtime.engine().set_leaving(true);
-    let answer = instance.submit(&fresh_key(), &job(&[json!(1)])).await;
+    let answer = instance.submit(&mint_key(), &job_body(&[json!(1)])).await;
     assert_eq!((answer.status.as_u16(), answer.reason()), (503, "leaving"));
     assert_eq!(answer.retry_after.as_deref(), Some("1"));
     assert_eq!(answer.verdict(), "not_run");
@@ -430,21 +434,21 @@
 
 #[tokio::test]
 async fn trace_context_reaches_the_worker() {
-    let instance = Instance::new(echo().await);
+    let instance = Instance::new(echo_worker().await);
     let traceparent = "00-0af7651916cd43dd8448eb211c80319c-b7ad6b7169203331-01";
-    let mut request = submission(&fresh_key(), job(&[json!(1)]).to_string());
+    let mut request = submission(&mint_key(), job_body(&[json!(1)]).to_string());
     let headers = request.headers_mut();
     headers.insert("traceparent", traceparent.parse().unwrap());
     assert_eq!(instance.send(request).await.status, StatusCode::OK);
     let seen = instance.worker.seen();
     assert_eq!(seen[0].header("traceparent"), Some(traceparent));
-    instance.submit(&fresh_key(), &job(&[json!(1)])).await;
+    instance.submit(&mint_key(), &job_body(&[json!(1)])).await;
     assert_eq!(instance.worker.seen()[1].header("traceparent"), None);
 }
 
 #[tokio::test]
-async fn minted_keys_are_homed_here() {
-    let instance = Instance::new(echo().await);
+async fn minted_keys_name_this_failure_domain() {
+    let instance = Instance::new(echo_worker().await);
     let mint = |uri: &str| {
         Request::builder()
             .method(Method::POST)
--- a/tests/testsuite/operator.rs
+++ b/tests/testsuite/operator.rs
@@ -1,4 +1,4 @@
-//! Operators declare resources against a store that fails as stores do.
+//! The operators' API against a store with injected faults.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -19,10 +19,10 @@
 use trefoilbay::sources::platform::PlatformStore;
 use trefoilbay::sources::platform::etcd::EtcdJson;
 
-/// Longest wait for a change to come into force.
+/// Timeout for a change to take effect.
 pub(crate) const IN_FORCE_WAIT: Duration = Duration::from_secs(5);
 
-/// The operators' side of one instance.
+/// An instance that serves only the operators' API.
 pub(crate) struct Instance {
     pub(crate) config: ConfigHandle,
     pub(crate) store: EtcdJson,
@@ -37,7 +37,7 @@
 
 pub(crate) async fn start_platform() -> PlatformHandle {
     let address = SocketAddr::from(([127, 0, 0, 1], 0));
-    // As etcd does.
+    // etcd omits default values from its JSON.
     let options = PlatformOptions {
         omit_defaults: true,
         ..PlatformOptions::default()
@@ -59,12 +59,12 @@
             ..Settings::default()
         };
         let store = EtcdJson::new(&settings);
-        let edge: Arc<dyn PlatformStore> = Arc::new(store.clone());
+        let shared_store: Arc<dyn PlatformStore> = Arc::new(store.clone());
         let log = Logger::root(Discard, o!());
-        let config = ConfigSync::start(Arc::clone(&edge), &settings, log);
+        let config = ConfigSync::start(Arc::clone(&shared_store), &settings, log);
         let context = OperatorContext {
             config: config.clone(),
-            store: edge,
+            store: shared_store,
             platform: settings.platform.clone(),
             status: Arc::new({
                 let (name, config) = (name.to_owned(), config.clone());
@@ -94,14 +94,14 @@
         }
     }
 
-    /// Races eight operators from one revision; gives their run times and answers.
-    async fn race(self: &Arc<Self>, etag: &str) -> Vec<(u64, Answer)> {
-        let mut racers = JoinSet::new();
+    /// Eight concurrent writes from one revision, each with its own run time.
+    async fn put_concurrently(self: &Arc<Self>, etag: &str) -> Vec<(u64, Answer)> {
+        let mut writers = JoinSet::new();
         for run_ms in 10..18 {
             let (instance, precondition) = (Arc::clone(self), format!("if-match: {etag}"));
-            racers.spawn(async move { (run_ms, instance.put(&precondition, run_ms).await) });
+            writers.spawn(async move { (run_ms, instance.put(&precondition, run_ms).await) });
         }
-        racers.join_all().await
+        writers.join_all().await
     }
 
     pub(crate) async fn get(&self, path: &str) -> Answer {
@@ -114,10 +114,10 @@
             .await
     }
 
-    /// Waits until a condition holds of the configuration in force.
-    async fn in_force(&self, what: impl Fn(&trefoil_core::config::ConfigSnapshot) -> bool) {
+    /// Waits until the configuration in force satisfies `predicate`.
+    async fn in_force(&self, predicate: impl Fn(&trefoil_core::config::ConfigSnapshot) -> bool) {
         let mut snapshots = self.config.subscribe();
-        let wait = snapshots.wait_for(|snapshot| what(snapshot));
+        let wait = snapshots.wait_for(|snapshot| predicate(snapshot));
         timeout(IN_FORCE_WAIT, wait).await.unwrap().unwrap();
     }
 
@@ -168,7 +168,7 @@
 }
 
 #[tokio::test]
-async fn a_declaration_comes_into_force_and_can_be_changed_and_removed() {
+async fn declaration_takes_effect_and_can_be_changed_and_removed() {
     let platform = start_platform().await;
     let (one, two) = (
         Instance::start("one", platform.address),
@@ -197,7 +197,7 @@
 }
 
 #[tokio::test]
-async fn wrong_declarations_and_dry_runs_write_nothing() {
+async fn invalid_declarations_and_dry_runs_write_nothing() {
     let platform = start_platform().await;
     let instance = Instance::start("one", platform.address);
     let (path, wrong) = ("/v1/services/pay", service(0));
@@ -220,11 +220,11 @@
 }
 
 #[tokio::test]
-async fn of_racing_operators_exactly_one_wins() {
+async fn one_of_several_concurrent_writes_succeeds() {
     let platform = start_platform().await;
     let instance = Arc::new(Instance::start("one", platform.address));
     let first = instance.put("if-none-match: *", 1).await;
-    let answers = instance.race(&first.etag).await;
+    let answers = instance.put_concurrently(&first.etag).await;
     let (won, lost): (Vec<_>, Vec<_>) = answers
         .into_iter()
         .partition(|(_, answer)| answer.status == StatusCode::OK);
@@ -242,12 +242,12 @@
 }
 
 #[tokio::test]
-async fn racing_operators_whose_answers_are_lost_are_told_the_truth() {
+async fn concurrent_writes_with_lost_answers_report_correct_verdicts() {
     let platform = start_platform().await;
     let instance = Arc::new(Instance::start("one", platform.address));
     let first = instance.put("if-none-match: *", 1).await;
     drop_answers(&platform, 5);
-    let answers = instance.race(&first.etag).await;
+    let answers = instance.put_concurrently(&first.etag).await;
     let stored = instance.get("/v1/services/pay").await;
     let stored = stored.body["spec"]["declared_run_ms"].as_u64().unwrap();
     let accepted = |answer: &Answer| answer.status == StatusCode::OK;
@@ -258,14 +258,14 @@
         match verdict {
             "accepted" => assert_eq!(*run_ms, stored),
             "not_run" => assert_ne!(*run_ms, stored),
-            other => panic!("the store was up, yet {other} of {run_ms}"),
+            other => panic!("unexpected verdict {other} for run time {run_ms}"),
         }
     }
     assert!(platform.counters().dropped_answers > 0);
 }
 
 #[tokio::test]
-async fn a_lost_answer_is_settled_by_reading_back() {
+async fn write_with_lost_answer_is_resolved_by_reading_back() {
     let platform = start_platform().await;
     let instance = Instance::start("one", platform.address);
     drop_answers(&platform, 1);
@@ -281,13 +281,13 @@
     let path = "/v1/services/pay";
     let removed = instance.call(Method::DELETE, path, "", Value::Null).await;
     assert_eq!(removed.status, StatusCode::NO_CONTENT);
-    // Nothing was sent twice.
+    // No write was sent twice.
     let counters = platform.counters();
     assert_eq!((counters.txn, counters.dropped_answers), (3, 3));
 }
 
 #[tokio::test]
-async fn a_write_that_cannot_be_settled_says_so() {
+async fn write_of_unknown_outcome_is_reported_as_such() {
     let platform = start_platform().await;
     let instance = Arc::new(Instance::start("one", platform.address));
     let created = instance.put("", 1).await;
@@ -310,7 +310,7 @@
 }
 
 #[tokio::test]
-async fn while_the_store_is_down_reads_are_served_and_writes_refused() {
+async fn reads_succeed_and_writes_fail_while_the_store_is_down() {
     let platform = start_platform().await;
     let instance = Instance::start("one", platform.address);
     let created = instance.put("", 7).await;
