--- a/crates/core/src/dispatch/owner/stats.rs
+++ b/crates/core/src/dispatch/owner/stats.rs
@@ -1,41 +1,41 @@
-//! What an owner tells of its state: load for entries, sizes for metrics.
+//! Load reports for entries, and counters for metrics.
 
 use trefoil_schema::dispatch::Load;
 
 use super::*;
 
-/// Counters of an owner's tables.
+/// Counters of an owner for metrics.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct OwnerStats {
     /// Jobs that have not ended.
     pub jobs: usize,
-    /// Jobs that wait for room.
+    /// Jobs with tasks that wait for capacity.
     pub waiting: usize,
-    /// Workers known.
+    /// Workers in the owner's table, listed by the registry or not.
     pub workers: usize,
-    /// Workers that can be ordered.
+    /// Workers that have accepted the owner's current fence.
     pub workers_fenced: usize,
     /// Runs that may be on workers.
     pub runs: usize,
-    /// How often the queue was sorted.
+    /// Number of queue sorts so far.
     pub queue_sorts: u64,
 }
 
 impl std::iter::Sum for OwnerStats {
-    fn sum<I: Iterator<Item = Self>>(sizes: I) -> Self {
-        sizes.fold(Self::default(), |sum, sizes| Self {
-            jobs: sum.jobs + sizes.jobs,
-            waiting: sum.waiting + sizes.waiting,
-            workers: sum.workers + sizes.workers,
-            workers_fenced: sum.workers_fenced + sizes.workers_fenced,
-            runs: sum.runs + sizes.runs,
-            queue_sorts: sum.queue_sorts + sizes.queue_sorts,
+    fn sum<I: Iterator<Item = Self>>(stats: I) -> Self {
+        stats.fold(Self::default(), |sum, stats| Self {
+            jobs: sum.jobs + stats.jobs,
+            waiting: sum.waiting + stats.waiting,
+            workers: sum.workers + stats.workers,
+            workers_fenced: sum.workers_fenced + stats.workers_fenced,
+            runs: sum.runs + stats.runs,
+            queue_sorts: sum.queue_sorts + stats.queue_sorts,
         })
     }
 }
 
 impl Owner {
-    /// Load of the workers, for entries to choose by.
+    /// Load of the pool, by which entries choose where to delegate jobs.
     pub fn load(&self, now_ms: u64) -> Load {
         let open = self.workers.values().filter(|worker| {
             worker.fencing == FencingState::Fenced
@@ -49,7 +49,9 @@
             load.capacity_millicores += worker.record.capacity.cpu_millicores;
             load.free_millicores += worker.free_resources().cpu_millicores;
             for run in &worker.runs {
-                let cpu = run.resources.map_or(0, |room| room.cpu_millicores);
+                let cpu = run
+                    .resources
+                    .map_or(0, |resources| resources.cpu_millicores);
                 let end_ms = run.ordered_ms + run.expected_ms;
                 load.backlog_millicore_ms += cpu * end_ms.saturating_sub(now_ms);
             }
@@ -61,7 +63,7 @@
         load
     }
 
-    /// Counts for metrics and tests: jobs here, workers fenced, runs.
+    /// Counters for metrics and tests.
     pub fn stats(&self) -> OwnerStats {
         let fenced = |worker: &&Worker| worker.fencing == FencingState::Fenced;
         OwnerStats {
--- a/src/http/operator.rs
+++ b/src/http/operator.rs
@@ -2,7 +2,7 @@
 //!
 //! Reads query the store and fall back to the configuration in force here,
 //! which the response reports as a condition. Writes require the store.
-//! Declarations are validated by [`trefoil_core::config::check`].
+//! Declarations are validated by [`trefoil_core::config::validation`].
 
 use std::sync::Arc;
 
--- a/src/http/operator/write.rs
+++ b/src/http/operator/write.rs
@@ -7,7 +7,7 @@
 use serde::Deserialize;
 use serde_json::Value;
 use trefoil_core::config::ResourceKey;
-use trefoil_core::config::check::check;
+use trefoil_core::config::validation::validate;
 use trefoil_schema::api::FieldError;
 use trefoil_schema::resources::Resource;
 
@@ -66,8 +66,8 @@
 ) -> Result<Declaration, Problem> {
     let condition = Precondition::from_headers(headers).map_err(problems::invalid_precondition)?;
     let declared = read_body(body).await?;
-    let resource =
-        validate(key, &declared).map_err(|errors| problems::invalid_resource(key, errors))?;
+    let resource = parse_declaration(key, &declared)
+        .map_err(|errors| problems::invalid_resource(key, errors))?;
     let before = read_current(context, key).await?;
     if !condition.holds(revision(before.as_ref())) {
         return Err(problems::precondition_failed(
@@ -146,8 +146,8 @@
         .map_err(|error| problems::malformed(format!("the body is not JSON: {error}")))
 }
 
-fn validate(key: &ResourceKey, declared: &Value) -> Result<Resource, Vec<FieldError>> {
-    let resource = check(declared)?;
+fn parse_declaration(key: &ResourceKey, declared: &Value) -> Result<Resource, Vec<FieldError>> {
+    let resource = validate(declared)?;
     let kind = key.kind.to_string();
     let kind_error = mismatch("kind", &resource.kind.to_string(), &kind);
     let name_error = mismatch("name", &resource.name, &key.name);
