--- a/src/server.rs
+++ b/src/server.rs
@@ -1,14 +1,14 @@
-//! One running instance: HTTP, signals, and the planned stop.
+//! A running instance: HTTP server, signal handling and drain.
 //!
-//! [`run`] starts the parts, [`routes`] is where HTTP routes are added, and
-//! [`Context`] is what handlers and tasks share.
+//! [`run`] starts the components, [`routes`] collects the HTTP routes, and
+//! [`Context`] is the state shared by handlers and background tasks.
 
+mod components;
 pub mod conditions;
 pub mod drain;
 pub mod health;
+mod metrics;
 mod observe;
-pub mod parts;
-mod report;
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -27,56 +27,56 @@
 use crate::peers::PeersError;
 use crate::util::clock::Clock;
 use crate::util::telemetry::Telemetry;
+use components::Components;
 use drain::DrainController;
-use parts::Parts;
 
-/// Longest wait for connections to close once nothing is in flight.
-const CLOSE_MAX: Duration = Duration::from_millis(500);
+/// Timeout for connections to close once nothing is in flight.
+const CONNECTION_CLOSE_TIMEOUT: Duration = Duration::from_millis(500);
 
 /// Why an instance cannot run.
 #[derive(Debug, Display, Error)]
 pub enum ServerError {
-    /// The HTTP address cannot be served.
-    #[display("cannot serve on {address}: {source}; hint: check http_address")]
+    /// The HTTP address cannot be bound.
+    #[display("cannot listen on {address}: {source}; hint: check http_address")]
     Listen {
-        /// The address asked for.
+        /// The setting `http_address`.
         address: String,
-        /// What the system said.
+        /// The error of the system call.
         source: std::io::Error,
     },
-    /// Signals cannot be caught.
-    #[display("cannot catch signals: {source}")]
+    /// Signal handlers cannot be installed.
+    #[display("cannot install signal handlers: {source}")]
     Signals {
-        /// What the system said.
+        /// The error of the system call.
         source: std::io::Error,
     },
     /// The links between instances cannot be started.
-    #[display("cannot take part in the deployment: {source}")]
+    #[display("cannot start the links to peers: {source}")]
     Peers {
-        /// What went wrong.
+        /// The error of the links.
         source: PeersError,
     },
 }
 
-/// What all parts of one instance share.
+/// State shared by all components of an instance.
 #[derive(Debug)]
 pub struct Context {
-    /// The checked settings.
+    /// The validated settings.
     pub settings: Settings,
     /// The root logger.
     pub log: Logger,
     /// Metrics and traces.
     pub telemetry: Telemetry,
-    /// The clocks of every decision.
+    /// The clock of every decision.
     pub clock: Clock,
-    /// What is in flight, and the planned stop.
+    /// Counts work in flight and runs the drain.
     pub drain: Arc<DrainController>,
     configured: AtomicBool,
     in_view: AtomicBool,
 }
 
 impl Context {
-    /// The context of an instance that serves.
+    /// Creates the context of an instance that is not draining.
     pub fn new(settings: Settings, log: Logger, telemetry: Telemetry) -> Self {
         let clock = Clock::start();
         let drain = Arc::new(DrainController::new(clock, &settings.drain));
@@ -91,28 +91,28 @@
         }
     }
 
-    /// Whether declarations are in force.
+    /// Whether a configuration is in force.
     pub fn is_configured(&self) -> bool {
         self.configured.load(Ordering::Relaxed)
     }
 
-    /// Whether this instance owns keys.
+    /// Whether the current view includes this instance, so that it owns keys.
     pub fn is_in_view(&self) -> bool {
         self.in_view.load(Ordering::Relaxed)
     }
 
-    /// Notes whether this instance owns keys.
+    /// Sets whether the current view includes this instance.
     pub fn set_in_view(&self, in_view: bool) {
         self.in_view.store(in_view, Ordering::Relaxed);
     }
 
-    /// Notes that declarations are in force; they never cease to be.
+    /// Records that a configuration is in force; this cannot be undone.
     pub fn set_configured(&self) {
         self.configured.store(true, Ordering::Relaxed);
     }
 }
 
-/// Runs one instance until its planned stop has ended.
+/// Runs an instance until its drain has finished.
 pub async fn run(
     settings: Settings,
     log: Logger,
@@ -120,10 +120,10 @@
 ) -> Result<Ending, ServerError> {
     let context = Arc::new(Context::new(settings, log, telemetry));
     let acceptor = listen(&context.settings.http_address).await?;
-    catch_signals(&context)?;
-    let parts = Parts::start(&context)?;
+    install_signal_handlers(&context)?;
+    let components = Components::start(&context)?;
     info!(context.log, "serving"; "http_address" => &context.settings.http_address);
-    let ending = serve(&context, &parts, acceptor).await;
+    let ending = serve(&context, &components, acceptor).await;
     info!(context.log, "stopped"; "ending" => %ending);
     if ending == Ending::Drained {
         let limit = context.drain.budget_left();
@@ -140,42 +140,46 @@
     })
 }
 
-/// Serves until the planned stop has ended, then closes connections.
-async fn serve(context: &Arc<Context>, parts: &Parts, acceptor: TcpAcceptor) -> Ending {
+/// Serves until the drain has finished, then closes connections.
+async fn serve(context: &Arc<Context>, components: &Components, acceptor: TcpAcceptor) -> Ending {
     let (close, closing) = oneshot::channel::<()>();
     let closed = async move { drop(closing.await) };
     let server = poem::Server::new_with_acceptor(acceptor).run_with_graceful_shutdown(
-        routes(context, parts),
+        routes(context, components),
         closed,
-        Some(CLOSE_MAX),
+        Some(CONNECTION_CLOSE_TIMEOUT),
     );
     let server = tokio::spawn(server);
-    let ending = context.drain.finished(&context.log).await;
+    let ending = context.drain.run_until_finished(&context.log).await;
     if ending == Ending::Drained {
         drop(close);
-        let limit = CLOSE_MAX.min(context.drain.budget_left());
-        close_within(server, limit, &context.log).await;
+        let limit = CONNECTION_CLOSE_TIMEOUT.min(context.drain.budget_left());
+        wait_for_close(server, limit, &context.log).await;
     }
     ending
 }
 
-async fn close_within<T>(server: tokio::task::JoinHandle<T>, limit: Duration, log: &Logger) {
+async fn wait_for_close<T>(server: tokio::task::JoinHandle<T>, limit: Duration, log: &Logger) {
     if tokio::time::timeout(limit, server).await.is_err() {
         warn!(log, "connections were left open"; "limit_ms" => limit.as_millis() as u64);
     }
 }
 
-/// All routes of an instance.
-fn routes(context: &Arc<Context>, parts: &Parts) -> impl Endpoint + use<> {
+/// Collects all routes of an instance.
+fn routes(context: &Arc<Context>, components: &Components) -> impl Endpoint + use<> {
     let health = health::routes(Route::new());
-    let work = parts.routes(context).around(observe::observe).around(track);
+    let work = components
+        .routes(context)
+        .around(observe::observe_submission)
+        .around(track_request);
     health.nest_no_strip("/v1", work).data(context.clone())
 }
 
-/// Keeps the planned stop waiting until the request is answered. Once it is
-/// announced, answers also close their connections: a request that came over
-/// a kept one at the very end would be cut off.
-async fn track<E: Endpoint>(next: Arc<E>, request: Request) -> poem::Result<Response> {
+/// Delays the end of the drain until the request is answered.
+///
+/// During the drain, responses also close their connections; otherwise a
+/// request sent over a kept-alive connection at the end would be lost.
+async fn track_request<E: Endpoint>(next: Arc<E>, request: Request) -> poem::Result<Response> {
     let drain = request
         .data()
         .map(|context: &Arc<Context>| context.drain.clone());
@@ -189,7 +193,7 @@
     Ok(response)
 }
 
-fn catch_signals(context: &Arc<Context>) -> Result<(), ServerError> {
+fn install_signal_handlers(context: &Arc<Context>) -> Result<(), ServerError> {
     let failed = |source| ServerError::Signals { source };
     let terminate = signal(SignalKind::terminate()).map_err(failed)?;
     let interrupt = signal(SignalKind::interrupt()).map_err(failed)?;
--- a/src/server/parts.rs
+++ b/src/server/components.rs
@@ -1,4 +1,4 @@
-//! The parts of a running instance, and how they are joined.
+//! Creates and connects the components of an instance.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -15,8 +15,8 @@
 use trefoil_core::verdict::Verdict;
 
 use super::conditions::Conditions;
-use super::drain::Hold;
-use super::report::Report;
+use super::drain::DrainHold;
+use super::metrics::MetricsReporter;
 use super::{Context, ServerError};
 use crate::http::caller::{self, CallerContext};
 use crate::http::operator::{self, OperatorContext};
@@ -30,17 +30,17 @@
 use crate::sources::platform::etcd::EtcdJson;
 use crate::workers::WorkerClient;
 
-/// Period of looks at the planned stop and the gauges.
-const WATCH_PERIOD: Duration = Duration::from_millis(50);
-/// Longest hand-over of memory, which a frozen successor may spend.
-const HANDOVER_MAX: Duration = Duration::from_secs(5);
-/// Part of the stop's budget kept for closing connections and telemetry.
+/// Interval between checks of the drain, and between updates of the metrics.
+const DRAIN_CHECK_INTERVAL: Duration = Duration::from_millis(50);
+/// Timeout for handing over ended jobs, in case a successor does not respond.
+const HANDOVER_TIMEOUT: Duration = Duration::from_secs(5);
+/// Part of the drain budget reserved for closing connections and telemetry.
 const CLOSE_RESERVE: Duration = Duration::from_millis(1_500);
-/// When a client of a leaving instance should ask another one.
+/// Delay after which a client of a leaving instance should try another one.
 const LEAVING_RETRY_MS: u64 = 100;
 
-/// Everything that serves requests.
-pub struct Parts {
+/// The components that serve requests.
+pub struct Components {
     pub(super) etcd: EtcdJson,
     pub(super) runtime: Arc<Runtime>,
     pub(super) peers: Arc<Peers>,
@@ -49,12 +49,12 @@
     _ticker: TickerGuard,
 }
 
-impl Parts {
-    /// Starts all parts.
+impl Components {
+    /// Starts all components.
     ///
     /// # Errors
     ///
-    /// The peer address cannot be listened on.
+    /// Fails if the peer address cannot be bound.
     pub fn start(context: &Arc<Context>) -> Result<Arc<Self>, ServerError> {
         let settings = &context.settings;
         let etcd = EtcdJson::new(settings);
@@ -79,7 +79,7 @@
         });
         let peers = peers.map_err(|source| ServerError::Peers { source })?;
         let ticker = runtime.start_ticker();
-        let parts = Arc::new(Self {
+        let components = Arc::new(Self {
             etcd,
             runtime,
             peers,
@@ -87,10 +87,10 @@
             config,
             _ticker: ticker,
         });
-        tokio::spawn(follow_config(context.clone(), parts.clone()));
+        tokio::spawn(apply_config_changes(context.clone(), components.clone()));
         let hold = context.drain.hold();
-        tokio::spawn(watch_stop(context.clone(), parts.clone(), hold));
-        Ok(parts)
+        tokio::spawn(watch_drain(context.clone(), components.clone(), hold));
+        Ok(components)
     }
 
     /// Adds the callers' and the operators' routes below `/v1`.
@@ -120,7 +120,7 @@
     }
 }
 
-/// Starts the planned stop of this instance.
+/// Handles `/v1/drain`: starts the drain of this instance.
 #[handler]
 fn drain(context: Data<&Arc<Context>>) -> Response {
     let state = context.drain.request();
@@ -129,24 +129,24 @@
         .body(state.to_string())
 }
 
-/// Refuses submissions once the planned stop has got so far.
+/// Refuses submissions once the drain refuses new work.
 async fn refuse_when_leaving<E: Endpoint>(
     next: Arc<E>,
     request: Request,
 ) -> poem::Result<Response> {
     let context: Option<&Arc<Context>> = request.data();
     let submits = request.method() == Method::POST && request.uri().path() == "/v1/jobs";
-    let accepted = context.map(|context| context.drain.accept());
+    let accepted = context.map(|context| context.drain.try_accept());
     if submits && matches!(accepted, Some(None)) {
-        return Ok(leaving().into_response());
+        return Ok(leaving_problem().into_response());
     }
     let response = next.get_response(request).await;
     drop(accepted);
     Ok(response)
 }
 
-fn leaving() -> Problem {
-    let detail = "this instance is leaving; ask another with the same key";
+fn leaving_problem() -> Problem {
+    let detail = "this instance is leaving; submit to another one under the same key";
     Problem::new(
         StatusCode::SERVICE_UNAVAILABLE,
         &RefusalReason::Leaving.to_string(),
@@ -157,9 +157,9 @@
     .retry_after_ms(LEAVING_RETRY_MS)
 }
 
-/// Puts each accepted configuration in force.
-async fn follow_config(context: Arc<Context>, parts: Arc<Parts>) {
-    let mut snapshots = parts.config.subscribe();
+/// Applies each accepted configuration.
+async fn apply_config_changes(context: Arc<Context>, components: Arc<Components>) {
+    let mut snapshots = components.config.subscribe();
     loop {
         let snapshot = snapshots.borrow_and_update().clone();
         if snapshot.revision > 0 {
@@ -167,7 +167,7 @@
                 .telemetry
                 .counters()
                 .set_config_revision(snapshot.revision);
-            parts.runtime.set_config(snapshot);
+            components.runtime.set_config(snapshot);
             context.set_configured();
         }
         if snapshots.changed().await.is_err() {
@@ -176,47 +176,47 @@
     }
 }
 
-/// Hands keys over when the planned stop begins, and keeps the stop waiting
-/// while jobs run here.
-async fn watch_stop(context: Arc<Context>, parts: Arc<Parts>, hold: Hold) {
-    let mut ticks = tokio::time::interval(WATCH_PERIOD);
+/// Starts the handover of keys when the drain begins, delays the end of the
+/// drain while jobs run here, and updates the metrics.
+async fn watch_drain(context: Arc<Context>, components: Arc<Components>, hold: DrainHold) {
+    let mut ticks = tokio::time::interval(DRAIN_CHECK_INTERVAL);
     ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
     let mut hold = Some(hold);
-    let mut has_left = false;
-    let mut has_refused = false;
-    let mut report = Report::default();
+    let mut has_announced_leaving = false;
+    let mut is_admission_closed = false;
+    let mut reporter = MetricsReporter::default();
     loop {
         ticks.tick().await;
         let state = context.drain.state();
         if state == DrainState::Serving {
-            context.set_in_view(parts.peers.in_force());
-        } else if !has_left {
-            parts.peers.leave();
-            has_left = true;
+            context.set_in_view(components.peers.in_force());
+        } else if !has_announced_leaving {
+            components.peers.leave();
+            has_announced_leaving = true;
         }
-        let stats = parts.runtime.engine().stats();
-        report.send(&parts, &stats, context.telemetry.counters());
+        let stats = components.runtime.engine().stats();
+        reporter.report(&components, &stats, context.telemetry.counters());
         match state {
             DrainState::Serving | DrainState::Announcing { .. } => {}
-            // Released one period later, when no admission is under way.
-            DrainState::Refusing { .. } if has_refused && stats.jobs_running == 0 => {
+            // One period later, so that no admission is still in progress.
+            DrainState::Refusing { .. } if is_admission_closed && stats.jobs_running == 0 => {
                 if let Some(hold) = hold.take() {
-                    tokio::spawn(hand_over(context.clone(), parts.clone(), hold));
+                    tokio::spawn(hand_over(context.clone(), components.clone(), hold));
                 }
             }
             DrainState::Refusing { .. } => {
-                parts.runtime.engine().set_leaving(true);
-                has_refused = true;
+                components.runtime.engine().set_leaving(true);
+                is_admission_closed = true;
             }
             DrainState::Finished(_) => return,
         }
     }
 }
 
-/// Hands the memory of ended jobs over, then lets the stop finish.
-async fn hand_over(context: Arc<Context>, parts: Arc<Parts>, hold: Hold) {
+/// Hands the records of ended jobs over, then lets the drain finish.
+async fn hand_over(context: Arc<Context>, components: Arc<Components>, hold: DrainHold) {
     let left = context.drain.budget_left().saturating_sub(CLOSE_RESERVE);
-    parts.peers.hand_over(left.min(HANDOVER_MAX)).await;
-    parts.peers.say_gone();
+    components.peers.hand_over(left.min(HANDOVER_TIMEOUT)).await;
+    components.peers.say_gone();
     drop(hold);
 }
--- a/src/server/conditions.rs
+++ b/src/server/conditions.rs
@@ -1,5 +1,4 @@
-//! Conditions of resources that only a running instance knows: each speaks of
-//! what was seen here.
+//! Conditions of resources, as observed by this instance.
 
 use std::sync::Arc;
 
@@ -15,37 +14,37 @@
 const PERCENT: u64 = 100;
 const SECOND_MS: u64 = 1_000;
 
-/// What the conditions are read from.
+/// Derives conditions from the state of this instance.
 #[derive(Clone)]
 pub struct Conditions {
-    /// The engine, and the answers of late.
+    /// Source of worker health and of recent response times.
     pub runtime: Arc<Runtime>,
     /// Failure domain of this instance.
     pub failure_domain: Arc<str>,
 }
 
 impl Conditions {
-    /// The conditions of a resource as seen here.
+    /// The conditions of a resource; none if it is not declared.
     pub fn of(&self, key: &ResourceKey) -> Vec<Condition> {
         let config = self.runtime.config();
         match key.kind {
             Kind::Team => Vec::new(),
-            Kind::Service => self.service(&config, &key.name),
-            Kind::BackendServer => self.healthy(&config, &key.name).into_iter().collect(),
+            Kind::Service => self.service_conditions(&config, &key.name),
+            Kind::BackendServer => self.server_health(&config, &key.name).into_iter().collect(),
         }
     }
 
-    fn service(&self, config: &ConfigSnapshot, name: &str) -> Vec<Condition> {
+    fn service_conditions(&self, config: &ConfigSnapshot, name: &str) -> Vec<Condition> {
         let Some(declared) = config.services.get(name) else {
             return Vec::new();
         };
         vec![
-            self.has_workers(config, name),
-            self.meets_targets(&declared.spec, name),
+            self.service_workers(config, name),
+            self.service_targets(&declared.spec, name),
         ]
     }
 
-    fn healthy(&self, config: &ConfigSnapshot, name: &str) -> Option<Condition> {
+    fn server_health(&self, config: &ConfigSnapshot, name: &str) -> Option<Condition> {
         let spec = &config.backend_servers.get(name)?.spec;
         if spec.failure_domain != *self.failure_domain {
             let message = format!(
@@ -56,10 +55,10 @@
         }
         let now = self.runtime.now();
         let health = self.runtime.engine().worker_health(now, name);
-        Some(health.map_or_else(unused, judged))
+        Some(health.map_or_else(not_used_here, server_condition))
     }
 
-    fn has_workers(&self, config: &ConfigSnapshot, service: &str) -> Condition {
+    fn service_workers(&self, config: &ConfigSnapshot, service: &str) -> Condition {
         let (mut declared, mut leaving) = (0, 0);
         for server in config.backend_servers.values() {
             let spec = &server.spec;
@@ -78,22 +77,22 @@
             return has_workers(ConditionStatus::False, "AllLeaving", message);
         }
         let health = self.runtime.engine().service_health(service);
-        used_here(health.unwrap_or_default(), declared, domain)
+        workers_condition(health.unwrap_or_default(), declared, domain)
     }
 
-    fn meets_targets(&self, spec: &ServiceSpec, service: &str) -> Condition {
+    fn service_targets(&self, spec: &ServiceSpec, service: &str) -> Condition {
         let mono_ms = self.runtime.now().mono_ms;
         let recent = self.runtime.service_windows().recent(mono_ms, service);
-        against(&spec.targets, recent)
+        targets_condition(&spec.targets, recent)
     }
 }
 
-fn unused() -> Condition {
+fn not_used_here() -> Condition {
     let message = "this instance uses no slot of it".to_owned();
     healthy(ConditionStatus::Unknown, "NotUsedHere", message)
 }
 
-fn judged(health: WorkerHealth) -> Condition {
+fn server_condition(health: WorkerHealth) -> Condition {
     let WorkerHealth {
         typical_ms,
         service_typical_ms,
@@ -123,15 +122,15 @@
     }
 }
 
-fn used_here(health: ServiceHealth, declared: u32, domain: &str) -> Condition {
+fn workers_condition(health: ServiceHealth, declared: u32, domain: &str) -> Condition {
     let ServiceHealth {
         workers,
         workers_ejected,
         slots_owned,
     } = health;
     let message = format!(
-        "{slots_owned} slots on {workers} of {declared} backend servers of {domain} are this \
-         instance's; {workers_ejected} of these are ejected"
+        "this instance owns {slots_owned} slots on {workers} of {declared} backend servers of \
+         {domain}; {workers_ejected} of them are ejected"
     );
     match workers {
         0 => has_workers(ConditionStatus::False, "NoSlots", message),
@@ -142,12 +141,12 @@
     }
 }
 
-/// Compares what callers of this instance had with what is declared.
-fn against(targets: &Targets, recent: Recent) -> Condition {
+/// Compares the recent responses of this instance with the declared targets.
+fn targets_condition(targets: &Targets, recent: Recent) -> Condition {
     let has_time_target = targets.response_p99_ms > 0;
     let refused_max = u64::from(targets.refused_percent_max);
     if !has_time_target && refused_max >= PERCENT {
-        let message = "it declares no targets".to_owned();
+        let message = "the service declares no targets".to_owned();
         return meets_targets(ConditionStatus::True, "NoTargets", message);
     }
     let window_s = WINDOW_MS / SECOND_MS;
--- a/src/server/drain.rs
+++ b/src/server/drain.rs
@@ -1,4 +1,4 @@
-//! What is in flight, and the planned stop that waits for it.
+//! Counts work in flight and runs the drain, which waits for it.
 
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -12,114 +12,114 @@
 
 use crate::util::clock::Clock;
 
-/// Counts work in flight and steps the drain.
+/// Counts work in flight and advances the drain.
 #[derive(Debug)]
 pub struct DrainController {
     clock: Clock,
     drain: Mutex<Drain>,
-    accepts: AtomicBool,
+    accepts_work: AtomicBool,
     in_flight: AtomicU64,
     holds: AtomicU64,
     changed: Notify,
 }
 
-/// Work in flight until it is dropped.
+/// Counts as work in flight until dropped.
 #[derive(Debug)]
-pub struct InFlight {
-    control: Arc<DrainController>,
+pub struct InFlightGuard {
+    controller: Arc<DrainController>,
 }
 
-impl Drop for InFlight {
+impl Drop for InFlightGuard {
     fn drop(&mut self) {
-        if self.control.in_flight.fetch_sub(1, Ordering::SeqCst) == 1 {
-            self.control.changed.notify_one();
+        if self.controller.in_flight.fetch_sub(1, Ordering::SeqCst) == 1 {
+            self.controller.changed.notify_one();
         }
     }
 }
 
-/// Keeps a planned stop from finishing until it is dropped.
+/// Prevents the drain from finishing until dropped.
 ///
-/// Unlike [`InFlight`] it is no request: a part takes it when it starts, and
-/// drops it when the stop may finish as far as that part is concerned.
+/// Unlike [`InFlightGuard`] it is not counted as a request: a component acquires
+/// it at its start and drops it when its own work for the drain is done.
 #[derive(Debug)]
-pub struct Hold {
-    control: Arc<DrainController>,
+pub struct DrainHold {
+    controller: Arc<DrainController>,
 }
 
-impl Drop for Hold {
+impl Drop for DrainHold {
     fn drop(&mut self) {
-        self.control.holds.fetch_sub(1, Ordering::SeqCst);
-        self.control.changed.notify_one();
+        self.controller.holds.fetch_sub(1, Ordering::SeqCst);
+        self.controller.changed.notify_one();
     }
 }
 
 impl DrainController {
-    /// An instance that serves.
+    /// Creates the controller of an instance that is not draining.
     pub fn new(clock: Clock, settings: &DrainSettings) -> Self {
         Self {
             clock,
             drain: Mutex::new(Drain::new(settings)),
-            accepts: AtomicBool::new(true),
+            accepts_work: AtomicBool::new(true),
             in_flight: AtomicU64::new(0),
             holds: AtomicU64::new(0),
             changed: Notify::new(),
         }
     }
 
-    /// Counts new work as in flight; `None` once new work is refused.
-    pub fn accept(self: &Arc<Self>) -> Option<InFlight> {
+    /// Counts new work as in flight; `None` if new work is refused.
+    pub fn try_accept(self: &Arc<Self>) -> Option<InFlightGuard> {
         let guard = self.track();
         // Counted before the check, so that the drain cannot miss it.
-        self.accepts.load(Ordering::SeqCst).then_some(guard)
+        self.accepts_work.load(Ordering::SeqCst).then_some(guard)
     }
 
-    /// Counts something that is finished in any phase, such as a read.
-    pub fn track(self: &Arc<Self>) -> InFlight {
+    /// Counts work as in flight that is accepted in any phase, such as a read.
+    pub fn track(self: &Arc<Self>) -> InFlightGuard {
         self.in_flight.fetch_add(1, Ordering::SeqCst);
-        InFlight {
-            control: self.clone(),
+        InFlightGuard {
+            controller: self.clone(),
         }
     }
 
-    /// Keeps the planned stop from finishing while the guard lives.
-    pub fn hold(self: &Arc<Self>) -> Hold {
+    /// Prevents the drain from finishing while the returned guard exists.
+    pub fn hold(self: &Arc<Self>) -> DrainHold {
         self.holds.fetch_add(1, Ordering::SeqCst);
-        Hold {
-            control: self.clone(),
+        DrainHold {
+            controller: self.clone(),
         }
     }
 
-    /// What is in flight now.
+    /// Amount of work in flight, without holds.
     pub fn in_flight(&self) -> u64 {
         self.in_flight.load(Ordering::SeqCst)
     }
 
-    fn unfinished(&self) -> u64 {
+    fn pending_work(&self) -> u64 {
         self.in_flight() + self.holds.load(Ordering::SeqCst)
     }
 
-    /// Where the stop stands.
+    /// Current phase of the drain.
     pub fn state(&self) -> DrainState {
         self.drain().state()
     }
 
-    /// An operator asks for the stop; asking again changes nothing.
+    /// Starts the drain at an operator's request; idempotent.
     pub fn request(&self) -> DrainState {
         self.update(|drain, now| drain.request(now))
     }
 
-    /// A signal asks for the stop, or ends it at once.
+    /// Handles a signal: starts the drain, or ends one that has started.
     pub fn signal(&self) -> DrainState {
         self.update(|drain, now| drain.signal(now))
     }
 
-    /// Steps the stop until it is finished; logs each change of phase.
-    pub async fn finished(&self, log: &Logger) -> Ending {
+    /// Advances the drain until it is finished; logs each change of phase.
+    pub async fn run_until_finished(&self, log: &Logger) -> Ending {
         let mut logged = DrainState::Serving;
         loop {
             let state = self.step();
             if state != logged {
-                info!(log, "drain"; "phase" => %state, "in_flight" => self.in_flight());
+                info!(log, "drain phase changed"; "phase" => %state, "in_flight" => self.in_flight());
                 logged = state;
             }
             if let DrainState::Finished(ending) = state {
@@ -147,16 +147,16 @@
         let now = self.clock.now();
         let mut drain = self.drain();
         let before = drain.state();
-        let after = drain.step(now, self.unfinished());
-        self.accepts.store(drain.accepts(), Ordering::SeqCst);
+        let after = drain.step(now, self.pending_work());
+        self.accepts_work.store(drain.accepts(), Ordering::SeqCst);
         if before == after {
             return after;
         }
-        // Counted again now that new work is refused.
-        drain.step(now, self.unfinished())
+        // Counts again, because no more work can be accepted.
+        drain.step(now, self.pending_work())
     }
 
-    /// What is left of the stop's budget.
+    /// Remaining time of the drain's budget.
     pub fn budget_left(&self) -> Duration {
         Duration::from_millis(self.drain().budget_left_ms(self.clock.now()))
     }
--- a/src/server/health.rs
+++ b/src/server/health.rs
@@ -18,24 +18,24 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum NotReady {
-    /// No declarations are in force yet.
+    /// No configuration is in force yet.
     NoConfiguration,
-    /// No view has this instance yet: it owns no keys.
+    /// The current view does not include this instance, which owns no keys.
     NoView,
-    /// A planned stop is announced; new work is still taken.
+    /// The drain is announced; new work is still accepted.
     Leaving,
-    /// A planned stop refuses new work.
+    /// The drain refuses new work.
     Refusing,
 }
 
 /// Body of `/readyz`.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct Readiness {
-    /// Whether new work should be sent here.
+    /// Whether a load balancer should send new work to this instance.
     pub ready: bool,
-    /// Why not; empty when ready.
+    /// Reasons for not being ready; empty if ready.
     pub reasons: Vec<NotReady>,
-    /// Requests and jobs not yet answered.
+    /// Requests of callers and peers not yet answered.
     pub in_flight: u64,
 }
 
@@ -47,7 +47,7 @@
         .at("/metrics", get(metrics))
 }
 
-/// The readiness of an instance.
+/// Determines the readiness of an instance.
 pub fn readiness(context: &Context) -> Readiness {
     let leaving = match context.drain.state() {
         DrainState::Serving => None,
--- a/src/server/report.rs
+++ b/src/server/metrics.rs
@@ -1,20 +1,20 @@
-//! Reads what the parts have counted and hands it to the instruments.
+//! Copies the counters of the components to the exported metrics.
 
 use std::sync::atomic::Ordering;
 
 use trefoil_core::engine::EngineStats;
 use trefoil_schema::api::InstanceStateName;
 
-use super::parts::Parts;
+use super::components::Components;
 use crate::peers::Peers;
 use crate::sources::platform::etcd::CallKind;
 use crate::util::telemetry::counters::{Counters, Levels, StoreCall, WastedMessage};
 use crate::util::telemetry::totals::{Total, Totals};
 
-/// Periods between looks at the other instances, whose list is copied.
-const PERIODS_PER_LOOK: u64 = 20;
+/// Periods between counts of the instances, which copy the whole list.
+const PERIODS_PER_INSTANCE_COUNT: u64 = 20;
 
-/// States of instances, each with its label.
+/// States of instances with their metric labels.
 const STATES: [(InstanceStateName, &str); 4] = [
     (InstanceStateName::Serving, "serving"),
     (InstanceStateName::Leaving, "leaving"),
@@ -22,35 +22,39 @@
     (InstanceStateName::Gone, "gone"),
 ];
 
-/// What was reported last; nothing at first, so that totals count from the
-/// start of the parts.
+/// Totals at the last report, initially zero.
 #[derive(Debug, Default)]
-pub(super) struct Report {
+pub(super) struct MetricsReporter {
     totals: Totals,
     periods: u64,
 }
 
-impl Report {
-    /// Reports what changed; called once a period.
-    pub(super) fn send(&mut self, parts: &Parts, stats: &EngineStats, counters: &Counters) {
-        let totals = totals(parts, stats);
+impl MetricsReporter {
+    /// Reports changes since the last call; called once per period.
+    pub(super) fn report(
+        &mut self,
+        components: &Components,
+        stats: &EngineStats,
+        counters: &Counters,
+    ) {
+        let totals = totals(components, stats);
         counters.advance(&self.totals, &totals);
         self.totals = totals;
-        counters.set_levels(&levels(&parts.peers, stats));
-        if self.periods.is_multiple_of(PERIODS_PER_LOOK) {
-            count_instances(&parts.peers, counters);
+        counters.set_levels(&levels(&components.peers, stats));
+        if self.periods.is_multiple_of(PERIODS_PER_INSTANCE_COUNT) {
+            count_instances(&components.peers, counters);
         }
         self.periods += 1;
     }
 }
 
-fn totals(parts: &Parts, stats: &EngineStats) -> Totals {
+fn totals(components: &Components, stats: &EngineStats) -> Totals {
     let mut totals = Totals::default();
     totals.push_engine(stats);
-    totals.push_links(&parts.peers.links().stats());
-    push_store(&mut totals, parts);
-    let workers = parts.runtime.workers().counters();
-    let peers = parts.peers.counters();
+    totals.push_links(&components.peers.links().stats());
+    push_store(&mut totals, components);
+    let workers = components.runtime.workers().counters();
+    let peers = components.peers.counters();
     let wasted = [
         (
             WastedMessage::CrossedAnswer,
@@ -70,8 +74,8 @@
     totals
 }
 
-fn push_store(totals: &mut Totals, parts: &Parts) {
-    let calls = parts.etcd.calls();
+fn push_store(totals: &mut Totals, components: &Components) {
+    let calls = components.etcd.calls();
     for (kind, call) in [
         (StoreCall::Range, CallKind::Range),
         (StoreCall::Txn, CallKind::Txn),
--- a/src/server/observe.rs
+++ b/src/server/observe.rs
@@ -1,4 +1,4 @@
-//! Counts and traces callers' submissions, and reports the parts' totals.
+//! Metrics and traces of callers' submissions.
 
 use std::sync::Arc;
 
@@ -15,10 +15,10 @@
 
 const SUBMISSION_PATH: &str = "/v1/jobs";
 
-/// Counts a submission, times its answer, and takes the caller's span.
+/// Counts a submission, measures its response time and opens its span.
 ///
-/// What follows finds the span as the request's `traceparent`.
-pub(super) async fn observe<E: Endpoint>(
+/// The span is passed to later handlers in the request's `traceparent`.
+pub(super) async fn observe_submission<E: Endpoint>(
     next: Arc<E>,
     mut request: Request,
 ) -> poem::Result<Response> {
@@ -65,7 +65,7 @@
     }
 }
 
-/// State of the job behind an answer; `None` for a refusal.
+/// State of the job that a response reports; `None` for a refusal.
 fn final_state(status: StatusCode, reason: Option<&Reason>) -> Option<JobState> {
     if status == StatusCode::ACCEPTED {
         return Some(JobState::Running);
@@ -79,7 +79,7 @@
     }
     match reason.parse().ok()? {
         FailureReason::Cancelled => Some(JobState::Cancelled),
-        // The job completed; this caller cannot have its results.
+        // Counted as a refusal: the job completed, but its results are gone.
         FailureReason::ResultDropped => None,
         FailureReason::TaskFailed
         | FailureReason::TaskLost
--- a/tests/testsuite/conditions.rs
+++ b/tests/testsuite/conditions.rs
@@ -1,5 +1,5 @@
-//! Conditions that an instance sees for itself, by virtual answers, and that
-//! its operators' API shows them.
+//! Conditions that an instance derives from its own observations, and their
+//! presence in the operators' API.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -107,20 +107,23 @@
     })
 }
 
-/// Status and reason of one condition.
+/// Status and reason of the condition of type `condition_type`.
 fn reason(
     conditions: &Conditions,
     kind: Kind,
     name: &str,
-    aspect: &str,
+    condition_type: &str,
 ) -> (ConditionStatus, String) {
     let found = conditions.of(&ResourceKey::new(kind, name));
-    let one = found.into_iter().find(|one| one.type_ == aspect).unwrap();
-    (one.status, one.reason)
+    let condition = found
+        .into_iter()
+        .find(|condition| condition.type_ == condition_type)
+        .unwrap();
+    (condition.status, condition.reason)
 }
 
 #[tokio::test]
-async fn targets_are_judged_by_the_answers_of_late() {
+async fn targets_are_compared_with_recent_answers() {
     let conditions = conditions();
     let meets = |name| reason(&conditions, Kind::Service, name, "MeetsTargets");
     let is = |status, reason: &str| (status, reason.to_owned());
@@ -135,7 +138,7 @@
     (0..99).for_each(|_| answer(TARGET_MS / 2, &complete(false)));
     answer(10 * TARGET_MS, &complete(false));
     assert_eq!(meets("pay"), is(ConditionStatus::True, "Met"));
-    // Neither a replay nor a caller's own fault says anything of the service.
+    // Neither replays nor refusals caused by the caller count.
     (0..50).for_each(|_| answer(10 * TARGET_MS, &complete(true)));
     (0..50).for_each(|_| answer(0, &refused(RefusalReason::KeyReused)));
     assert_eq!(meets("pay"), is(ConditionStatus::True, "Met"));
@@ -151,7 +154,7 @@
 }
 
 #[test]
-fn a_window_forgets() {
+fn old_answers_leave_the_window() {
     let windows = ServiceWindows::default();
     let record = |mono_ms, response_ms| {
         let elapsed = Duration::from_millis(response_ms);
@@ -174,7 +177,7 @@
 }
 
 #[tokio::test]
-async fn workers_are_told_by_failure_domain_and_state() {
+async fn worker_conditions_depend_on_failure_domain_and_state() {
     let conditions = conditions();
     let healthy = |name| reason(&conditions, Kind::BackendServer, name, "Healthy");
     let unknown = |reason: &str| (ConditionStatus::Unknown, reason.to_owned());
@@ -195,26 +198,29 @@
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn an_instance_shows_the_conditions_that_it_sees() {
+async fn conditions_appear_in_the_operators_api() {
     let worker = Worker::start().await;
     let telemetry = |settings: &_| Telemetry::start(settings).unwrap();
     let pair = Pair::start(worker.address, telemetry).await;
-    for (path, aspect) in [
+    for (path, condition_type) in [
         ("/v1/backend-servers/worker-1", "Healthy"),
         ("/v1/services/pay", "HasWorkers"),
         ("/v1/services/pay", "MeetsTargets"),
     ] {
-        let has_it = |text: &str| text.contains(aspect);
-        let text = pair.until(pair.entries[0], path, has_it).await;
+        let has_condition = |text: &str| text.contains(condition_type);
+        let text = pair.until(pair.entries[0], path, has_condition).await;
         let found: StoredResource = serde_json::from_str(&text).unwrap();
         let mut conditions = found.status.conditions.iter();
-        let one = conditions.find(|one| one.type_ == aspect).unwrap();
-        // The pair's own probes count: one that was refused misses the target.
-        let missed = aspect == "MeetsTargets" && one.reason == "TooManyRefused";
-        let expected = match missed && pair.probes_refused > 0 {
+        let condition = conditions
+            .find(|condition| condition.type_ == condition_type)
+            .unwrap();
+        // The pair's own probes count; a refused probe violates the target.
+        let target_missed =
+            condition_type == "MeetsTargets" && condition.reason == "TooManyRefused";
+        let expected = match target_missed && pair.probes_refused > 0 {
             true => ConditionStatus::False,
             false => ConditionStatus::True,
         };
-        assert_eq!(one.status, expected, "{one:?}");
+        assert_eq!(condition.status, expected, "{condition:?}");
     }
 }
--- a/tests/testsuite/daemon.rs
+++ b/tests/testsuite/daemon.rs
@@ -1,4 +1,4 @@
-//! The daemon's life: health, planned stop, exit codes.
+//! The daemon's health endpoints, drain and exit codes.
 
 use std::net::TcpListener;
 use std::process::{Child, Command, Output, Stdio};
@@ -18,8 +18,8 @@
 use trefoilbay::server::drain::DrainController;
 use trefoilbay::util::clock::Clock;
 
-const STEP: Duration = Duration::from_millis(20);
-const STEPS_MAX: u32 = 250;
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
+const POLLS_MAX: u32 = 250;
 
 /// A daemon that is killed when the test ends.
 struct Daemon {
@@ -35,7 +35,9 @@
             child: Some(child),
             address,
         };
-        daemon.until(|status, _| status == 200, "/healthz").await;
+        daemon
+            .wait_for_response(|status, _| status == 200, "/healthz")
+            .await;
         daemon
     }
 
@@ -58,13 +60,13 @@
         (status, String::from_utf8(body.to_vec()).unwrap())
     }
 
-    async fn until(&self, fits: impl Fn(u16, &str) -> bool, path: &str) -> String {
-        for _ in 0..STEPS_MAX {
+    async fn wait_for_response(&self, matches: impl Fn(u16, &str) -> bool, path: &str) -> String {
+        for _ in 0..POLLS_MAX {
             let (status, body) = self.get(path).await;
-            if fits(status, &body) {
+            if matches(status, &body) {
                 return body;
             }
-            sleep(STEP).await;
+            sleep(POLL_INTERVAL).await;
         }
         panic!("{path} never answered as expected");
     }
@@ -75,10 +77,10 @@
         assert!(killed.unwrap().success());
     }
 
-    async fn end(mut self) -> Output {
+    async fn wait_for_exit(mut self) -> Output {
         let child = self.child.take().unwrap();
         let ended = tokio::task::spawn_blocking(|| child.wait_with_output());
-        let ended = timeout(STEP * STEPS_MAX, ended).await;
+        let ended = timeout(POLL_INTERVAL * POLLS_MAX, ended).await;
         ended.unwrap().unwrap().unwrap()
     }
 }
@@ -109,7 +111,7 @@
 }
 
 #[tokio::test]
-async fn without_the_store_it_lives_but_is_not_ready() {
+async fn instance_without_store_is_live_but_not_ready() {
     let platform = format!("platform.address={}", free_address());
     let daemon = Daemon::start(&[&platform]).await;
     let (status, body) = daemon.get("/readyz").await;
@@ -119,20 +121,24 @@
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn announces_and_then_exits_with_zero() {
+async fn drain_is_announced_and_then_exits_with_zero() {
     let any = "127.0.0.1:0".parse().unwrap();
     let platform = platform::start(any, PlatformOptions::default());
     let platform = platform.await.unwrap();
     let address = format!("platform.address={}", platform.address);
     let daemon = Daemon::start(&["drain.announce_ms=400", &address]).await;
-    let ready = daemon.until(|status, _| status == 200, "/readyz").await;
+    let ready = daemon
+        .wait_for_response(|status, _| status == 200, "/readyz")
+        .await;
     assert_eq!(ready, r#"{"ready":true,"reasons":[],"in_flight":0}"#);
     assert!(daemon.get("/metrics").await.1.contains("target_info"));
     daemon.signal("TERM");
-    let leaving = daemon.until(|status, _| status == 503, "/readyz").await;
+    let leaving = daemon
+        .wait_for_response(|status, _| status == 503, "/readyz")
+        .await;
     assert!(leaving.contains(r#""reasons":["leaving"]"#), "{leaving}");
     assert_eq!(daemon.get("/healthz").await.0, 200);
-    let output = daemon.end().await;
+    let output = daemon.wait_for_exit().await;
     assert_eq!(output.status.code(), Some(0));
     let lines = String::from_utf8(output.stderr).unwrap();
     let last: serde_json::Value = serde_json::from_str(lines.lines().last().unwrap()).unwrap();
@@ -143,16 +149,18 @@
 }
 
 #[tokio::test]
-async fn second_signal_ends_at_once() {
+async fn second_signal_exits_immediately() {
     let daemon = Daemon::start(&["drain.announce_ms=20000"]).await;
     daemon.signal("INT");
-    daemon.until(|status, _| status == 503, "/readyz").await;
+    daemon
+        .wait_for_response(|status, _| status == 503, "/readyz")
+        .await;
     daemon.signal("TERM");
-    assert_eq!(daemon.end().await.status.code(), Some(3));
+    assert_eq!(daemon.wait_for_exit().await.status.code(), Some(3));
 }
 
 #[tokio::test]
-async fn taken_address_is_reported_with_a_hint() {
+async fn address_in_use_is_reported_with_a_hint() {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap().to_string();
     let output = command(&address, &[]).output().unwrap();
@@ -161,7 +169,7 @@
     assert!(report.contains("hint: check http_address"), "{report}");
 }
 
-fn control() -> Arc<DrainController> {
+fn controller() -> Arc<DrainController> {
     let settings = DrainSettings {
         announce_ms: 200,
         budget_ms: 1_000,
@@ -169,53 +177,61 @@
     Arc::new(DrainController::new(Clock::start(), &settings))
 }
 
-fn no_log() -> Logger {
+fn discard_logger() -> Logger {
     Logger::root(Discard, o!())
 }
 
 #[tokio::test(start_paused = true)]
-async fn stop_waits_for_what_is_in_flight() {
-    let control = control();
+async fn drain_waits_for_work_in_flight() {
+    let controller = controller();
     let start = Instant::now();
-    control.signal();
-    let early = control.accept().unwrap();
-    let waiting = control.clone();
-    let stop = tokio::spawn(async move { waiting.finished(&no_log()).await });
+    controller.signal();
+    let early = controller.try_accept().unwrap();
+    let runner = controller.clone();
+    let drain = tokio::spawn(async move { runner.run_until_finished(&discard_logger()).await });
     sleep(Duration::from_millis(100)).await;
-    let late = control.accept().expect("still accepts while announcing");
+    let late = controller
+        .try_accept()
+        .expect("still accepts while announcing");
     sleep(Duration::from_millis(150)).await;
-    assert!(control.accept().is_none(), "refuses after the announcement");
+    assert!(
+        controller.try_accept().is_none(),
+        "refuses after the announcement"
+    );
     drop(early);
     sleep(Duration::from_millis(50)).await;
-    assert!(!stop.is_finished());
+    assert!(!drain.is_finished());
     drop(late);
-    assert_eq!(stop.await.unwrap(), Ending::Drained);
+    assert_eq!(drain.await.unwrap(), Ending::Drained);
     assert_eq!(start.elapsed(), Duration::from_millis(300));
 }
 
 #[tokio::test(start_paused = true)]
-async fn stop_ends_when_the_budget_is_spent() {
-    let control = control();
+async fn drain_ends_when_the_budget_is_spent() {
+    let controller = controller();
     let start = Instant::now();
-    control.request();
-    let _stuck = control.accept().unwrap();
-    assert_eq!(control.finished(&no_log()).await, Ending::BudgetSpent);
+    controller.request();
+    let _unfinished = controller.try_accept().unwrap();
+    assert_eq!(
+        controller.run_until_finished(&discard_logger()).await,
+        Ending::BudgetSpent
+    );
     assert_eq!(start.elapsed(), Duration::from_millis(1_000));
-    assert_eq!(control.budget_left(), Duration::ZERO);
+    assert_eq!(controller.budget_left(), Duration::ZERO);
 }
 
 #[tokio::test(start_paused = true)]
-async fn stop_waits_for_holds_which_are_not_counted_as_requests() {
-    let control = control();
-    let hold = control.hold();
-    assert_eq!(control.in_flight(), 0);
-    control.signal();
-    let waiting = control.clone();
-    let stop = tokio::spawn(async move { waiting.finished(&no_log()).await });
+async fn drain_waits_for_holds_without_counting_them_as_in_flight() {
+    let controller = controller();
+    let hold = controller.hold();
+    assert_eq!(controller.in_flight(), 0);
+    controller.signal();
+    let runner = controller.clone();
+    let drain = tokio::spawn(async move { runner.run_until_finished(&discard_logger()).await });
     sleep(Duration::from_millis(700)).await;
-    assert!(!stop.is_finished());
+    assert!(!drain.is_finished());
     drop(hold);
-    assert_eq!(stop.await.unwrap(), Ending::Drained);
+    assert_eq!(drain.await.unwrap(), Ending::Drained);
 }
 
 #[tokio::test]
--- a/tests/testsuite/health.rs
+++ b/tests/testsuite/health.rs
@@ -1,4 +1,4 @@
-//! What `/readyz` tells, phase by phase.
+//! Readiness in each phase of an instance.
 
 use std::time::Duration;
 
@@ -18,38 +18,38 @@
     settings.drain.budget_ms = 1_000;
     let telemetry = Telemetry::start(&settings).unwrap();
     let context = Context::new(settings, Logger::root(Discard, o!()), telemetry);
-    let mut told = String::new();
-    let mut tell = |phase: &str| {
+    let mut report = String::new();
+    let mut record = |phase: &str| {
         let body = serde_json::to_string(&readiness(&context)).unwrap();
-        told.push_str(&format!("{phase}: {body}\n"));
+        report.push_str(&format!("{phase}: {body}\n"));
     };
-    tell("started");
+    record("started");
     context.set_configured();
-    tell("configured");
+    record("configured");
     context.set_in_view(true);
-    tell("in a view");
+    record("in a view");
     let in_flight = context.drain.track();
-    tell("one request");
+    record("one request");
     context.set_in_view(false);
-    tell("out of its view");
+    record("out of its view");
     context.drain.signal();
-    let (stop, log) = (context.drain.clone(), context.log.clone());
-    let stepped = tokio::spawn(async move { stop.finished(&log).await });
-    tell("stop announced");
+    let (drain, log) = (context.drain.clone(), context.log.clone());
+    let drain_task = tokio::spawn(async move { drain.run_until_finished(&log).await });
+    record("drain announced");
     sleep(Duration::from_millis(201)).await;
-    tell("stop refuses");
+    record("drain refuses");
     drop(in_flight);
-    tell("nothing in flight");
-    assert_eq!(stepped.await.unwrap(), Ending::Drained);
+    record("nothing in flight");
+    assert_eq!(drain_task.await.unwrap(), Ending::Drained);
     expect![[r#"
         started: {"ready":false,"reasons":["no_configuration","no_view"],"in_flight":0}
         configured: {"ready":false,"reasons":["no_view"],"in_flight":0}
         in a view: {"ready":true,"reasons":[],"in_flight":0}
         one request: {"ready":true,"reasons":[],"in_flight":1}
         out of its view: {"ready":false,"reasons":["no_view"],"in_flight":1}
-        stop announced: {"ready":false,"reasons":["leaving"],"in_flight":1}
-        stop refuses: {"ready":false,"reasons":["refusing"],"in_flight":1}
+        drain announced: {"ready":false,"reasons":["leaving"],"in_flight":1}
+        drain refuses: {"ready":false,"reasons":["refusing"],"in_flight":1}
         nothing in flight: {"ready":false,"reasons":["refusing"],"in_flight":0}
     "#]]
-    .assert_eq(&told);
+    .assert_eq(&report);
 }
