--- a/crates/core/src/engine/pool.rs
+++ b/crates/core/src/engine/pool.rs
@@ -16,7 +16,7 @@
 use super::event::{TaskId, WorkerId};
 use super::failure::FailureReason;
 use super::health::{ServiceHealth, WorkerHealth};
-use super::job::{EndedJob, JobId, JobWork};
+use super::job::{ActiveJob, EndedJob, JobId};
 use super::lending::Lending;
 use super::queue::JobQueue;
 use super::retry_budget::RetryBudget;
@@ -24,28 +24,29 @@
 use super::settings::EngineSettings;
 use super::stats::EngineStats;
 use super::teams::{TeamIndex, Teams};
-use super::worker_set::{WorkerDeal, WorkerSet};
+use super::worker_set::{WorkerAssignment, WorkerSet};
 use crate::time::Now;
 
-/// Bits of a task id that count placements; the rest name the pool.
+/// Low bits of a task id that number the placements; the high bits are the pool
+/// number.
 const TASK_COUNTER_BITS: u32 = 48;
-/// Deadlines kept of ended jobs before they are cleared out.
+/// Number of ended jobs' deadlines kept before the heap is cleaned up.
 const STALE_DEADLINES_MAX: usize = 1024;
 
-/// One service's pool; its number is part of its task ids.
+/// The pool of one service.
 pub(crate) struct Pool {
     state: Mutex<PoolState>,
 }
 
-/// What the service's declaration says about its tasks.
+/// The parameters of a service's tasks, from its declaration.
 #[derive(Clone, Debug, PartialEq)]
-pub(crate) struct ServiceTerms {
+pub(crate) struct ServiceParams {
     pub path: Arc<str>,
     pub task_timeout_ms: u64,
     pub declared_run_ms: u64,
 }
 
-impl From<&ServiceSpec> for ServiceTerms {
+impl From<&ServiceSpec> for ServiceParams {
     fn from(spec: &ServiceSpec) -> Self {
         Self {
             path: spec.path.as_str().into(),
@@ -55,7 +56,7 @@
     }
 }
 
-/// A placement that is out.
+/// A running placement of a task.
 #[derive(Clone, Copy, Debug)]
 struct Placement {
     job: JobId,
@@ -66,29 +67,28 @@
     started_ms: u64,
 }
 
-/// What a pool's lock guards.
 pub(crate) struct PoolState {
+    /// High bits of this pool's task ids.
     number: u64,
     settings: Arc<EngineSettings>,
-    terms: ServiceTerms,
+    params: ServiceParams,
     workers: WorkerSet,
     lending: Lending,
-    jobs: SlotMap<JobId, JobWork>,
+    jobs: SlotMap<JobId, ActiveJob>,
     queue: JobQueue,
     teams: Teams,
     placements: HashMap<TaskId, Placement>,
     deadlines: BinaryHeap<Reverse<(u64, JobId)>>,
     run_times: RunTimes,
-    /// When a result last came.
+    /// Time of the last result.
     last_done_ms: u64,
     retries: RetryBudget,
-    next_placement: u64,
+    last_placement: u64,
     stats: EngineStats,
 }
 
 impl Pool {
-    /// An empty pool.
-    pub fn new(number: u64, settings: Arc<EngineSettings>, terms: ServiceTerms) -> Self {
+    pub fn new(number: u64, settings: Arc<EngineSettings>, params: ServiceParams) -> Self {
         let workers = WorkerSet::new(settings.placement.policy, settings.workers.clone());
         let state = PoolState {
             number,
@@ -99,69 +99,70 @@
             teams: Teams::default(),
             placements: HashMap::new(),
             deadlines: BinaryHeap::new(),
-            run_times: RunTimes::new(terms.declared_run_ms),
+            run_times: RunTimes::new(params.declared_run_ms),
             last_done_ms: 0,
             retries: RetryBudget::new(settings.placement.retry_percent),
-            next_placement: 0,
+            last_placement: 0,
             stats: EngineStats::default(),
             settings,
-            terms,
+            params,
         };
         Self {
             state: Mutex::new(state),
         }
     }
 
-    /// Locks the pool; a job shard may be locked before it, never after.
+    /// Locks the pool. Lock order: a job table shard before a pool.
     pub fn lock(&self) -> MutexGuard<'_, PoolState> {
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
     /// The number of the pool that made a task id.
-    pub fn number_of(task: TaskId) -> usize {
+    pub fn pool_number(task: TaskId) -> usize {
         (task.0 >> TASK_COUNTER_BITS) as usize
     }
 }
 
 impl PoolState {
-    /// Takes the service's declaration and its workers with shares.
+    /// Applies the service's declaration and its workers with their shares.
     pub fn configure(
         &mut self,
         now: Now,
-        terms: ServiceTerms,
-        deal: WorkerDeal,
+        params: ServiceParams,
+        assignment: WorkerAssignment,
         out: &mut Vec<Command>,
     ) {
-        if terms.declared_run_ms != self.terms.declared_run_ms {
-            self.run_times.declare(terms.declared_run_ms);
+        if params.declared_run_ms != self.params.declared_run_ms {
+            self.run_times.declare(params.declared_run_ms);
         }
-        self.terms = terms;
+        self.params = params;
         let run_log2 = self.run_times.mean_log2();
-        self.workers.replace(now.mono_ms, run_log2, deal);
+        self.workers.replace(now.mono_ms, run_log2, assignment);
         self.dispatch(now, out);
     }
 
-    /// The service is no longer declared: nothing starts any more.
-    pub fn withdraw(&mut self, now: Now, out: &mut Vec<Command>) {
-        let terms = self.terms.clone();
-        self.configure(now, terms, WorkerDeal::default(), out);
+    /// Stops new tasks, because the service is no longer declared.
+    pub fn undeclare(&mut self, now: Now, out: &mut Vec<Command>) {
+        let params = self.params.clone();
+        self.configure(now, params, WorkerAssignment::default(), out);
     }
 
-    /// Tasks done of a job, or `None` if it just ended.
+    /// Number of a job's tasks that are done; `None` if the job has ended.
     pub fn tasks_done(&self, job: JobId) -> Option<u32> {
-        self.jobs.get(job).map(|work| work.done)
+        self.jobs.get(job).map(|active| active.done)
     }
 
-    /// Ends a job at its caller's wish, or `None` if it just ended.
+    /// Cancels a job; `None` if it has ended already.
     pub fn cancel(&mut self, now: Now, job: JobId, out: &mut Vec<Command>) -> Option<EndedJob> {
-        let why = "the caller cancelled the job".to_owned();
-        let ended = self.cut_short(job, JobState::Cancelled, FailureReason::Cancelled, why)?;
+        let detail = "the caller cancelled the job".to_owned();
+        let ended =
+            self.end_incomplete(job, JobState::Cancelled, FailureReason::Cancelled, detail)?;
         self.stats.jobs_cancelled += 1;
         self.dispatch(now, out);
         Some(ended)
     }
 
-    /// Ends jobs whose deadline has passed, and starts what has a slot.
+    /// Ends jobs whose deadline has passed and starts queued tasks.
     pub fn tick(&mut self, now: Now, out: &mut Vec<Command>) -> Vec<EndedJob> {
         let mut ended = Vec::new();
         while let Some(Reverse((deadline_ms, job))) = self.deadlines.peek().copied() {
@@ -181,7 +182,7 @@
         ended
     }
 
-    /// Keeps the heap in proportion to the jobs; constant time amortised.
+    /// Bounds the heap to a multiple of the jobs, in amortised constant time.
     fn clear_stale_deadlines(&mut self) {
         if self.deadlines.len() > 2 * self.jobs.len() + STALE_DEADLINES_MAX {
             let jobs = &self.jobs;
@@ -190,21 +191,18 @@
         }
     }
 
-    /// A worker as seen here.
     pub fn worker_health(&self, now: Now, id: WorkerId) -> Option<WorkerHealth> {
         self.workers.health(now, self.run_times.mean_log2(), id)
     }
 
-    /// All workers as seen here.
     pub fn service_health(&self) -> ServiceHealth {
         ServiceHealth {
-            workers: self.workers.open() as u32,
+            workers: self.workers.eligible_workers() as u32,
             workers_ejected: self.workers.ejected() as u32,
             slots_owned: self.workers.slots(),
         }
     }
 
-    /// Counters and sizes of this pool.
     pub fn stats(&self) -> EngineStats {
         EngineStats {
             jobs_running: self.jobs.len() as u64,
