--- a/src/runtime.rs
+++ b/src/runtime.rs
@@ -279,7 +279,7 @@
             self.engine.tick(self.now(), &mut out);
             self.execute(&mut out);
             if count.is_multiple_of(TICKS_PER_SWEEP) {
-                self.workers.sweep();
+                self.workers.evict_idle();
                 self.traces.sweep(self.now().mono_ms);
                 self.service_windows.sweep(self.now().mono_ms);
             }
--- a/src/workers.rs
+++ b/src/workers.rs
@@ -1,28 +1,28 @@
-//! Calls to backend servers over bounded connections.
+//! HTTP client for workers, the backend servers that run tasks.
 //!
-//! A task is sent at most once for each call, and the outcome says truthfully
-//! whether it may have started:
+//! Each call sends its task at most once, and its outcome states whether the
+//! task may have started:
 //!
-//! | what happened | outcome |
+//! | event | outcome |
 //! |---|---|
 //! | no connection, or no byte of the request accepted by the socket | not run |
-//! | 429 or 503 | not run |
-//! | 2xx with a whole body, echo matching or absent | done |
+//! | status 429 or 503 | not run |
+//! | status 2xx with a complete body, task header matching or absent | done |
 //! | any other status | failed |
-//! | the echo names another task | may have run; the answer is dropped |
+//! | task header of the response names another task | may have run |
 //! | reset, timeout, unframed, truncated or oversized body | may have run |
 //!
-//! * [`connection`]: one connection, driven by the task that uses it.
-//! * [`metered`]: counts the bytes that the socket accepted.
-//! * [`pool`]: bounded connections to one worker.
-//! * [`request`]: what is sent.
-//! * [`outcome`]: what an answer means.
+//! * [`connection`]: an HTTP connection, polled by the call that uses it.
+//! * [`counting_stream`]: counts the bytes accepted by the socket.
+//! * [`pool`]: bounded connection pool of one worker.
+//! * [`request`]: builds requests.
+//! * [`outcome`]: maps responses and errors to outcomes.
 
 pub mod connection;
-pub mod metered;
-pub mod outcome;
-pub mod pool;
-pub mod request;
+mod counting_stream;
+mod outcome;
+mod pool;
+mod request;
 
 use std::collections::HashMap;
 use std::sync::atomic::{AtomicU32, AtomicU64, Ordering};
@@ -41,7 +41,7 @@
 
 type Shard = Mutex<HashMap<Arc<str>, Arc<Pool>>>;
 
-/// Calls backend servers.
+/// Client for all workers of this instance.
 #[derive(Debug)]
 pub struct WorkerClient {
     shards: [Shard; SHARDS],
@@ -50,24 +50,24 @@
     counters: WorkerCounters,
 }
 
-/// Counts of calls, since the start.
+/// Counters of calls since the start of the instance.
 #[derive(Debug, Default)]
 pub struct WorkerCounters {
-    /// Calls begun.
+    /// Calls started.
     pub calls: AtomicU64,
     /// Connections opened.
     pub connections_opened: AtomicU64,
-    /// Calls that provably did not start the task.
+    /// Calls that did not start their task.
     pub not_run: AtomicU64,
-    /// Calls whose task may have started.
+    /// Calls that may have started their task.
     pub may_have_run: AtomicU64,
-    /// Answers dropped because they name another task.
+    /// Responses discarded because they name another task.
     pub crossed_answers: AtomicU64,
 }
 
 impl WorkerClient {
-    /// A client whose worker connections are all its own; see
-    /// [`Self::set_connections_max`].
+    /// Creates a client that may use all connections that the settings allow;
+    /// see [`Self::set_connections_max`].
     pub fn new(settings: &WorkerSettings) -> Self {
         Self {
             shards: std::array::from_fn(|_| Shard::default()),
@@ -77,24 +77,24 @@
         }
     }
 
-    /// Sets the most connections to one worker, this instance's share of the
-    /// failure domain's.
+    /// Sets the maximum number of connections to one worker: this instance's
+    /// share of the limit for the failure domain.
     pub fn set_connections_max(&self, connections_max: u32) {
         self.connections_max
             .store(connections_max.max(1), Ordering::Relaxed);
     }
 
-    /// Counts since the start.
+    /// Counters of calls since the start of the instance.
     pub fn counters(&self) -> &WorkerCounters {
         &self.counters
     }
 
-    /// Sends the task, once, and says how it ended.
+    /// Sends the task once and returns its outcome.
     pub async fn call(&self, call: &WorkerCall) -> TaskOutcome {
         self.counters.calls.fetch_add(1, Ordering::Relaxed);
         let limit = Duration::from_millis(call.timeout_ms);
         let result = self.exchange(call, limit).await;
-        if let Err(CallError::Crossed(_)) = result {
+        if let Err(CallError::TaskMismatch(_)) = result {
             self.counters
                 .crossed_answers
                 .fetch_add(1, Ordering::Relaxed);
@@ -105,7 +105,7 @@
     }
 
     async fn exchange(&self, call: &WorkerCall, limit: Duration) -> Result<TaskOutcome, CallError> {
-        let give_up = tokio::time::Instant::now() + limit;
+        let deadline = tokio::time::Instant::now() + limit;
         let pool = self.pool(&call.address);
         let task = call.task_header();
         let request = call.request(pool.host(), &task)?;
@@ -113,30 +113,28 @@
             self.connections_max.load(Ordering::Relaxed),
             self.connect_timeout,
         );
-        let mut lease = tokio::time::timeout_at(give_up, checkout)
+        let mut pooled = tokio::time::timeout_at(deadline, checkout)
             .await
-            .map_err(|_| {
-                CallError::NotConnected("no connection within the timeout".to_owned())
-            })??;
-        if lease.is_new() {
+            .map_err(|_| CallError::NotSent("no connection within the timeout".to_owned()))??;
+        if pooled.is_new() {
             self.counters
                 .connections_opened
                 .fetch_add(1, Ordering::Relaxed);
         }
-        let answer = lease.connection().exchange(request, give_up).await?;
-        let reusable = answer.reusable && answer.echo_matches(&task);
-        let outcome = answer.into_outcome(&task)?;
+        let response = pooled.connection().exchange(request, deadline).await?;
+        let reusable = response.reusable && response.echo_matches(&task);
+        let outcome = response.into_outcome(&task)?;
         if reusable {
-            lease.keep();
+            pooled.release();
         }
         Ok(outcome)
     }
 
-    /// Closes connections that stayed idle, and forgets unused workers.
-    pub fn sweep(&self) {
+    /// Closes connections past the idle timeout and removes unused pools.
+    pub fn evict_idle(&self) {
         for shard in &self.shards {
             let mut pools = shard.lock().unwrap_or_else(PoisonError::into_inner);
-            pools.retain(|_, pool| pool.sweep() || Arc::strong_count(pool) > 1);
+            pools.retain(|_, pool| pool.evict_idle() || Arc::strong_count(pool) > 1);
         }
     }
 
--- a/src/workers/connection.rs
+++ b/src/workers/connection.rs
@@ -1,7 +1,8 @@
-//! One HTTP/1.1 connection to a worker, driven by the task that uses it.
+//! An HTTP/1.1 connection to a worker.
 //!
-//! No background task polls the connection. So once a call gives up and drops
-//! it, nothing can write another byte, and the count of bytes written is final.
+//! The connection is polled by the call that uses it, not by a background task.
+//! Once a call has timed out, no more bytes are written, so its count of bytes
+//! written is final.
 
 use std::future::{Future, poll_fn};
 use std::net::SocketAddr;
@@ -18,36 +19,36 @@
 use tokio::net::TcpStream;
 use tokio::time::Instant;
 
-use super::metered::{BytesWritten, MeteredStream};
-use super::outcome::{Answer, BodyError, CallError};
+use super::counting_stream::{BytesWritten, CountingStream};
+use super::outcome::{BodyError, CallError, WorkerResponse};
 use super::request::TASK_HEADER;
 
-/// Largest result of one task, in bytes.
+/// Maximum size of a task's result, in bytes.
 pub const RESULT_BYTES_MAX: usize = 8 * 1024 * 1024;
-/// Most bytes reserved on the word of a `Content-Length`.
+/// Maximum number of bytes preallocated for a declared `Content-Length`.
 const RESERVE_BYTES_MAX: usize = 64 * 1024;
 
-type Driver = http1::Connection<MeteredStream, Full<Bytes>>;
+type Driver = http1::Connection<CountingStream, Full<Bytes>>;
 
 /// An open connection that carries one request at a time.
 #[derive(Debug)]
-pub struct Connection {
+pub(crate) struct Connection {
     sender: http1::SendRequest<Full<Bytes>>,
     driver: Driver,
     written: BytesWritten,
 }
 
 impl Connection {
-    /// Connects to `address`, IP:PORT.
-    pub async fn open(address: &str) -> Result<Self, CallError> {
+    /// Connects to `address`, an `IP:PORT`.
+    pub(crate) async fn open(address: &str) -> Result<Self, CallError> {
         let address: SocketAddr = address
             .parse()
-            .map_err(|_| not_connected(format!("{address} is no IP:PORT")))?;
-        let stream = TcpStream::connect(address).await.map_err(not_connected)?;
-        stream.set_nodelay(true).map_err(not_connected)?;
+            .map_err(|_| not_sent(format!("{address} is not an IP:PORT address")))?;
+        let stream = TcpStream::connect(address).await.map_err(not_sent)?;
+        stream.set_nodelay(true).map_err(not_sent)?;
         let written = BytesWritten::default();
-        let stream = MeteredStream::new(stream, BytesWritten::clone(&written));
-        let (sender, driver) = http1::handshake(stream).await.map_err(not_connected)?;
+        let stream = CountingStream::new(stream, BytesWritten::clone(&written));
+        let (sender, driver) = http1::handshake(stream).await.map_err(not_sent)?;
         Ok(Self {
             sender,
             driver,
@@ -55,8 +56,8 @@
         })
     }
 
-    /// Whether it can carry a request: still open, and nothing unread on it.
-    pub async fn is_usable(&mut self) -> bool {
+    /// Whether it can send a request: it is open and has no unread data.
+    pub(crate) async fn is_usable(&mut self) -> bool {
         poll_fn(|cx| {
             let open = Pin::new(&mut self.driver).poll(cx).is_pending();
             Poll::Ready(open && self.sender.is_ready())
@@ -64,36 +65,36 @@
         .await
     }
 
-    /// Sends `request` and reads its answer, until `give_up`.
+    /// Sends `request` and reads its response, until `deadline`.
     ///
-    /// After an error the connection must be dropped.
-    pub async fn exchange(
+    /// The connection must be dropped after an error.
+    pub(crate) async fn exchange(
         &mut self,
         request: Request<Full<Bytes>>,
-        give_up: Instant,
-    ) -> Result<Answer, CallError> {
+        deadline: Instant,
+    ) -> Result<WorkerResponse, CallError> {
         let before = self.written.load(Ordering::Relaxed);
         let sent = self.sender.send_request(request);
-        let answer = async { read_answer(sent.await?).await };
-        let answered = tokio::time::timeout_at(give_up, drive(&mut self.driver, answer)).await;
-        let error = match answered {
-            Ok(Some(Ok(mut answer))) => {
-                answer.reusable = answer.body.is_ok() && self.is_usable().await;
-                return Ok(answer);
+        let response = async { read_response(sent.await?).await };
+        let result = tokio::time::timeout_at(deadline, drive(&mut self.driver, response)).await;
+        let error = match result {
+            Ok(Some(Ok(mut response))) => {
+                response.reusable = response.body.is_ok() && self.is_usable().await;
+                return Ok(response);
             }
-            Ok(Some(Err(error))) => chain(&error),
+            Ok(Some(Err(error))) => error_chain(&error),
             Ok(None) => "connection closed".to_owned(),
-            Err(_) => "no answer within the timeout".to_owned(),
+            Err(_) => "no response within the timeout".to_owned(),
         };
         if self.written.load(Ordering::Relaxed) == before {
-            return Err(CallError::NotConnected(error));
+            return Err(CallError::NotSent(error));
         }
-        Err(CallError::Lost(error))
+        Err(CallError::ResponseLost(error))
     }
 }
 
-/// Runs `work` and the connection it depends on; `None` if the connection
-/// ended without completing it.
+/// Polls `work` together with the connection it depends on; `None` if the
+/// connection closed before `work` completed.
 async fn drive<T>(driver: &mut Driver, work: impl Future<Output = T>) -> Option<T> {
     let mut work = pin!(work);
     let mut closed = false;
@@ -111,7 +112,7 @@
     .await
 }
 
-async fn read_answer(response: Response<Incoming>) -> hyper::Result<Answer> {
+async fn read_response(response: Response<Incoming>) -> hyper::Result<WorkerResponse> {
     let (head, body) = response.into_parts();
     let framed = body.size_hint().exact().is_some() || is_chunked(&head.headers);
     let body = if framed {
@@ -119,21 +120,21 @@
     } else {
         Err(BodyError::Unframed)
     };
-    Ok(Answer {
+    Ok(WorkerResponse {
         status: head.status,
-        echo: head.headers.get(TASK_HEADER).cloned(),
+        echoed_task: head.headers.get(TASK_HEADER).cloned(),
         body,
         reusable: false,
     })
 }
 
-/// Copies the body out of the connection's read buffer: results are kept for
-/// resubmissions, and a slice of that buffer would keep all of it.
+/// Reads the body into a buffer of its own; a slice of the connection's read
+/// buffer would keep that whole buffer alive while the result is stored.
 async fn collect(mut body: Incoming) -> Result<Bytes, BodyError> {
     let expected = body.size_hint().exact().unwrap_or(0) as usize;
     let mut whole = Vec::with_capacity(expected.min(RESERVE_BYTES_MAX));
     while let Some(frame) = body.frame().await {
-        let frame = frame.map_err(|error| BodyError::Truncated(chain(&error)))?;
+        let frame = frame.map_err(|error| BodyError::Truncated(error_chain(&error)))?;
         let Ok(data) = frame.into_data() else {
             continue;
         };
@@ -153,12 +154,12 @@
         .is_some_and(|last| last.trim().eq_ignore_ascii_case("chunked"))
 }
 
-fn not_connected(error: impl std::fmt::Display) -> CallError {
-    CallError::NotConnected(error.to_string())
+fn not_sent(error: impl std::fmt::Display) -> CallError {
+    CallError::NotSent(error.to_string())
 }
 
-/// An error and its causes, in one line.
-fn chain(error: &dyn std::error::Error) -> String {
+/// Formats an error and its causes on one line.
+fn error_chain(error: &dyn std::error::Error) -> String {
     let causes = std::iter::successors(Some(error), |error| error.source());
     let texts: Vec<String> = causes.map(ToString::to_string).collect();
     texts.join(": ")
--- a/src/workers/metered.rs
+++ b/src/workers/counting_stream.rs
@@ -1,8 +1,7 @@
-//! A stream that counts the bytes its socket accepted.
+//! A TCP stream that counts the bytes its socket accepted.
 //!
-//! The count is the proof behind "not run": a task whose request got no byte
-//! into the socket cannot have started. Bytes that the socket accepted may
-//! have reached the worker, whatever error follows.
+//! A task is reported as not run only if the socket accepted no byte of its
+//! request. Accepted bytes may have reached the worker even if an error follows.
 
 use std::io;
 use std::pin::Pin;
@@ -14,19 +13,19 @@
 use hyper_util::rt::TokioIo;
 use tokio::net::TcpStream;
 
-/// Bytes that a socket accepted for sending.
-pub type BytesWritten = Arc<AtomicU64>;
+/// Number of bytes that a socket accepted for sending.
+pub(crate) type BytesWritten = Arc<AtomicU64>;
 
-/// A TCP stream that counts what it writes.
+/// A TCP stream that counts the bytes written.
 #[derive(Debug)]
-pub struct MeteredStream {
+pub(crate) struct CountingStream {
     stream: TokioIo<TcpStream>,
     written: BytesWritten,
 }
 
-impl MeteredStream {
-    /// Counts what `stream` writes in `written`.
-    pub fn new(stream: TcpStream, written: BytesWritten) -> Self {
+impl CountingStream {
+    /// Wraps `stream`, adding the bytes it writes to `written`.
+    pub(crate) fn new(stream: TcpStream, written: BytesWritten) -> Self {
         Self {
             stream: TokioIo::new(stream),
             written,
@@ -40,7 +39,7 @@
     }
 }
 
-impl Read for MeteredStream {
+impl Read for CountingStream {
     fn poll_read(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
@@ -50,7 +49,7 @@
     }
 }
 
-impl Write for MeteredStream {
+impl Write for CountingStream {
     fn poll_write(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
--- a/src/workers/outcome.rs
+++ b/src/workers/outcome.rs
@@ -1,4 +1,4 @@
-//! What an answer, or its absence, says about a task.
+//! Maps responses and errors to task outcomes.
 
 use bytes::Bytes;
 use derive_more::{Display, Error};
@@ -7,74 +7,76 @@
 use serde::de::IgnoredAny;
 use trefoil_core::engine::TaskOutcome;
 
-/// Result of a task that answered with an empty body.
-const NULL: Bytes = Bytes::from_static(b"null");
-/// Most characters of a failed task's body that its detail repeats.
+/// Result of a task whose response has an empty body.
+const NULL_RESULT: Bytes = Bytes::from_static(b"null");
+/// Maximum length of the response excerpt in a failed task's detail, in characters.
 const DETAIL_CHARS_MAX: usize = 200;
 
-/// Why a call has no answer that could be used.
+/// Why a call has no usable response.
 #[derive(Clone, Debug, Display, Error, PartialEq, Eq)]
-pub enum CallError {
+pub(crate) enum CallError {
     /// No byte of the request was sent.
     #[display("not sent: {_0}")]
-    NotConnected(#[error(not(source))] String),
-    /// Part of the request was sent at least, and no whole answer came.
-    #[display("answer lost: {_0}")]
-    Lost(#[error(not(source))] String),
-    /// The answer names another task.
-    #[display("the answer names another task: {_0}")]
-    Crossed(#[error(not(source))] String),
+    NotSent(#[error(not(source))] String),
+    /// At least part of the request was sent, but no complete response arrived.
+    #[display("response lost: {_0}")]
+    ResponseLost(#[error(not(source))] String),
+    /// The response names another task.
+    #[display("the response names another task: {_0}")]
+    TaskMismatch(#[error(not(source))] String),
 }
 
 impl CallError {
-    /// What the error says about the task.
-    pub fn into_outcome(self) -> TaskOutcome {
+    /// The outcome of a task whose call failed with this error.
+    pub(crate) fn into_outcome(self) -> TaskOutcome {
         match self {
-            Self::NotConnected(_) => TaskOutcome::NotRun(self.to_string()),
-            Self::Lost(_) | Self::Crossed(_) => TaskOutcome::MayHaveRun(self.to_string()),
+            Self::NotSent(_) => TaskOutcome::NotRun(self.to_string()),
+            Self::ResponseLost(_) | Self::TaskMismatch(_) => {
+                TaskOutcome::MayHaveRun(self.to_string())
+            }
         }
     }
 }
 
-/// Why the body of an answer is not whole.
+/// Why the body of a response is incomplete.
 #[derive(Clone, Debug, Display, Error, PartialEq, Eq)]
-pub enum BodyError {
-    /// Neither a length nor chunks: its end cannot be told from a cut.
-    #[display("the body has neither content-length nor chunks")]
+pub(crate) enum BodyError {
+    /// Neither a length nor chunks, so truncation cannot be detected.
+    #[display("the body has neither a content-length nor chunked encoding")]
     Unframed,
-    /// It ended early.
+    /// The connection closed before its end.
     #[display("the body is truncated: {_0}")]
     Truncated(#[error(not(source))] String),
-    /// It exceeds the bound.
+    /// It exceeds the size limit, in bytes.
     #[display("the body is larger than {_0} bytes")]
     Oversized(#[error(not(source))] usize),
 }
 
-/// An answer as it came.
+/// A response of a worker.
 #[derive(Clone, Debug)]
-pub struct Answer {
-    /// Its status.
-    pub status: StatusCode,
-    /// The task that it names.
-    pub echo: Option<HeaderValue>,
-    /// Its body.
-    pub body: Result<Bytes, BodyError>,
-    /// Whether its connection can carry another request.
-    pub reusable: bool,
+pub(crate) struct WorkerResponse {
+    /// HTTP status.
+    pub(crate) status: StatusCode,
+    /// The task header, if present.
+    pub(crate) echoed_task: Option<HeaderValue>,
+    /// The body, or why it is incomplete.
+    pub(crate) body: Result<Bytes, BodyError>,
+    /// Whether the connection can send another request.
+    pub(crate) reusable: bool,
 }
 
-impl Answer {
-    /// Whether it names `task`, or no task.
-    pub fn echo_matches(&self, task: &str) -> bool {
-        self.echo
+impl WorkerResponse {
+    /// Whether the response names `task` or no task.
+    pub(crate) fn echo_matches(&self, task: &str) -> bool {
+        self.echoed_task
             .as_ref()
             .is_none_or(|echo| echo.as_bytes() == task.as_bytes())
     }
 
-    /// What it says about `task`.
-    pub fn into_outcome(self, task: &str) -> Result<TaskOutcome, CallError> {
+    /// Converts to the outcome of `task`.
+    pub(crate) fn into_outcome(self, task: &str) -> Result<TaskOutcome, CallError> {
         if !self.echo_matches(task) {
-            return Err(CallError::Crossed(format!("{:?}", self.echo)));
+            return Err(CallError::TaskMismatch(format!("{:?}", self.echoed_task)));
         }
         match self.status {
             StatusCode::TOO_MANY_REQUESTS | StatusCode::SERVICE_UNAVAILABLE => {
@@ -93,9 +95,9 @@
     fn into_result(self) -> Result<TaskOutcome, CallError> {
         let body = self
             .body
-            .map_err(|error| CallError::Lost(error.to_string()))?;
+            .map_err(|error| CallError::ResponseLost(error.to_string()))?;
         if body.is_empty() {
-            return Ok(TaskOutcome::Done(NULL));
+            return Ok(TaskOutcome::Done(NULL_RESULT));
         }
         Ok(match check_json(&body) {
             Ok(()) => TaskOutcome::Done(body),
@@ -104,7 +106,8 @@
     }
 }
 
-/// Results are copied into answers as they are, so each must be one JSON value.
+/// Checks that a result is one JSON value, because it is copied unparsed into
+/// the response to the caller.
 fn check_json(body: &[u8]) -> Result<(), String> {
     let text = std::str::from_utf8(body).map_err(|error| error.to_string())?;
     serde_json::from_str::<IgnoredAny>(text)
--- a/src/workers/pool.rs
+++ b/src/workers/pool.rs
@@ -1,8 +1,8 @@
-//! Bounded connections to one worker.
+//! Bounded connection pool of one worker.
 //!
-//! A permit stands for one open connection in use. A connection is opened only
-//! when none is idle, and goes back before its permit does, so the open ones
-//! never exceed the permits.
+//! Each connection in use holds a permit. A connection is opened only if none is
+//! idle, and is returned before its permit is released, so the number of open
+//! connections never exceeds the number of permits.
 
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
@@ -14,13 +14,14 @@
 use super::connection::Connection;
 use super::outcome::CallError;
 
-/// Longest idle time of a connection, below the usual keep-alive of servers: a
-/// request sent just as the server closes would be lost at `may_have_run`.
-pub const IDLE_MAX: Duration = Duration::from_secs(4);
+/// Idle time after which a connection is closed. Shorter than the usual
+/// keep-alive timeout of servers, because a request that crosses the server's
+/// close may have run.
+pub(crate) const IDLE_TIMEOUT: Duration = Duration::from_secs(4);
 
 /// Connections to one worker.
 #[derive(Debug)]
-pub struct Pool {
+pub(crate) struct Pool {
     address: Arc<str>,
     host: HeaderValue,
     permits: Arc<Semaphore>,
@@ -29,21 +30,21 @@
 
 #[derive(Debug, Default)]
 struct PoolState {
-    /// Idle connections, the last used one last.
-    idle: Vec<Idle>,
-    /// Permits in all.
+    /// Idle connections, most recently used last.
+    idle: Vec<IdleConnection>,
+    /// Total number of permits.
     connections_max: usize,
 }
 
 #[derive(Debug)]
-struct Idle {
+struct IdleConnection {
     connection: Connection,
     since: Instant,
 }
 
 impl Pool {
-    /// A pool without connections for the worker at `address`.
-    pub fn new(address: Arc<str>) -> Self {
+    /// Creates an empty pool for the worker at `address`.
+    pub(crate) fn new(address: Arc<str>) -> Self {
         let host = HeaderValue::from_str(&address).unwrap_or(HeaderValue::from_static(""));
         Self {
             address,
@@ -54,29 +55,29 @@
     }
 
     /// Value of the `Host` header.
-    pub fn host(&self) -> &HeaderValue {
+    pub(crate) fn host(&self) -> &HeaderValue {
         &self.host
     }
 
-    /// Takes an idle connection or opens one, once fewer than
-    /// `connections_max` are in use.
-    pub async fn checkout(
+    /// Waits until fewer than `connections_max` connections are in use, then
+    /// takes an idle connection or opens one.
+    pub(crate) async fn checkout(
         self: &Arc<Self>,
         connections_max: u32,
         connect_timeout: Duration,
-    ) -> Result<Lease, CallError> {
+    ) -> Result<PooledConnection, CallError> {
         self.resize(connections_max as usize);
         let permit = Arc::clone(&self.permits)
             .acquire_owned()
             .await
-            .map_err(|error| CallError::NotConnected(error.to_string()))?;
-        let reused = self.usable_idle().await;
+            .map_err(|error| CallError::NotSent(error.to_string()))?;
+        let reused = self.take_usable_idle().await;
         let is_new = reused.is_none();
         let connection = match reused {
             Some(connection) => connection,
             None => self.open(connect_timeout).await?,
         };
-        Ok(Lease {
+        Ok(PooledConnection {
             pool: Arc::clone(self),
             connection,
             is_new,
@@ -89,39 +90,42 @@
             .await
             .unwrap_or_else(|_| {
                 let text = "no connection within the connect timeout".to_owned();
-                Err(CallError::NotConnected(text))
+                Err(CallError::NotSent(text))
             })
     }
 
-    async fn usable_idle(&self) -> Option<Connection> {
+    async fn take_usable_idle(&self) -> Option<Connection> {
         while let Some(mut idle) = self.pop_idle() {
-            if idle.since.elapsed() < IDLE_MAX && idle.connection.is_usable().await {
+            if idle.since.elapsed() < IDLE_TIMEOUT && idle.connection.is_usable().await {
                 return Some(idle.connection);
             }
         }
         None
     }
 
-    fn pop_idle(&self) -> Option<Idle> {
+    fn pop_idle(&self) -> Option<IdleConnection> {
         self.state().idle.pop()
     }
 
-    /// Closes connections that were idle for too long; whether any is left.
-    pub fn sweep(&self) -> bool {
+    /// Closes connections past the idle timeout; returns whether any is left.
+    pub(crate) fn evict_idle(&self) -> bool {
         let mut state = self.state();
-        state.idle.retain(|idle| idle.since.elapsed() < IDLE_MAX);
+        state
+            .idle
+            .retain(|idle| idle.since.elapsed() < IDLE_TIMEOUT);
         !state.idle.is_empty()
     }
 
-    /// Moves the bound; permits in use are taken back when they are free.
+    /// Changes the limit. Permits in use are withdrawn by a later call, once
+    /// they have been released.
     fn resize(&self, connections_max: usize) {
         let mut state = self.state();
-        let have = state.connections_max;
-        if have < connections_max {
-            self.permits.add_permits(connections_max - have);
+        let current_max = state.connections_max;
+        if current_max < connections_max {
+            self.permits.add_permits(connections_max - current_max);
             state.connections_max = connections_max;
-        } else if have > connections_max {
-            state.connections_max -= self.permits.forget_permits(have - connections_max);
+        } else if current_max > connections_max {
+            state.connections_max -= self.permits.forget_permits(current_max - connections_max);
         }
     }
 
@@ -130,30 +134,30 @@
     }
 }
 
-/// A connection in use. Dropping it closes the connection; [`Lease::keep`]
-/// gives it back.
+/// A connection in use. Dropping it closes the connection;
+/// [`PooledConnection::release`] returns it to the pool.
 #[derive(Debug)]
-pub struct Lease {
+pub(crate) struct PooledConnection {
     pool: Arc<Pool>,
     connection: Connection,
     is_new: bool,
     permit: OwnedSemaphorePermit,
 }
 
-impl Lease {
-    /// Whether the connection was opened for this lease.
-    pub fn is_new(&self) -> bool {
+impl PooledConnection {
+    /// Whether the connection was newly opened.
+    pub(crate) fn is_new(&self) -> bool {
         self.is_new
     }
 
-    /// The connection.
-    pub fn connection(&mut self) -> &mut Connection {
+    /// The underlying connection.
+    pub(crate) fn connection(&mut self) -> &mut Connection {
         &mut self.connection
     }
 
-    /// Gives the connection back for reuse.
-    pub fn keep(self) {
-        let idle = Idle {
+    /// Returns the connection to the pool for reuse.
+    pub(crate) fn release(self) {
+        let idle = IdleConnection {
             connection: self.connection,
             since: Instant::now(),
         };
--- a/src/workers/request.rs
+++ b/src/workers/request.rs
@@ -1,4 +1,4 @@
-//! What is sent to a backend server.
+//! Builds the requests sent to workers.
 
 use std::sync::Arc;
 
@@ -10,29 +10,29 @@
 
 use super::outcome::CallError;
 
-/// Names the task: `KEY/INDEX/ATTEMPT`.
-pub const TASK_HEADER: HeaderName = HeaderName::from_static("trefoil-task");
+/// Header that names the task: `KEY/INDEX/ATTEMPT`.
+pub(crate) const TASK_HEADER: HeaderName = HeaderName::from_static("trefoil-task");
 const TRACEPARENT: HeaderName = HeaderName::from_static("traceparent");
 const JSON: HeaderValue = HeaderValue::from_static("application/json");
 
 /// One placement of a task on a worker.
 #[derive(Clone, Debug)]
 pub struct WorkerCall {
-    /// Job the task belongs to.
+    /// Key of the task's job.
     pub key: Arc<JobKey>,
-    /// Position of the task in its job.
+    /// Position of the task in its job, from 0.
     pub index: u32,
-    /// Placement number of this task, from 1.
+    /// Number of this placement of the task, from 1.
     pub attempt: u32,
-    /// Where the worker answers, IP:PORT.
+    /// Address of the worker, `IP:PORT`.
     pub address: Arc<str>,
-    /// Path of the service's endpoint.
+    /// URL path of the service.
     pub path: Arc<str>,
-    /// Body to send.
+    /// Request body.
     pub payload: Bytes,
-    /// Longest wait for the whole answer, connecting included.
+    /// Timeout of the whole call, including the connect.
     pub timeout_ms: u64,
-    /// W3C trace context to pass on.
+    /// W3C trace context to send along.
     pub traceparent: Option<Arc<str>>,
 }
 
@@ -56,6 +56,6 @@
         }
         request
             .body(Full::new(self.payload.clone()))
-            .map_err(|error| CallError::NotConnected(format!("request cannot be made: {error}")))
+            .map_err(|error| CallError::NotSent(format!("cannot build the request: {error}")))
     }
 }
--- a/tests/testsuite/caller.rs
+++ b/tests/testsuite/caller.rs
@@ -17,7 +17,9 @@
 use trefoilbay::runtime::{Runtime, TickerGuard};
 use trefoilbay::workers::WorkerClient;
 
-use crate::workers::script::{Reply, ScriptWorker, Then, answer};
+use crate::workers::scripted_worker::{
+    AfterResponse, ScriptedResponse, ScriptedWorker, response_text,
+};
 
 const DOMAIN: &str = "kingston-1";
 const SERVICE: &str = "payroll";
@@ -26,7 +28,7 @@
 struct Instance {
     runtime: Arc<Runtime>,
     context: CallerContext,
-    worker: ScriptWorker,
+    worker: ScriptedWorker,
     _ticker: TickerGuard,
 }
 
@@ -49,7 +51,7 @@
 }
 
 impl Instance {
-    fn new(worker: ScriptWorker) -> Self {
+    fn new(worker: ScriptedWorker) -> Self {
         let jobs = JobSettings {
             tasks_max: 20,
             body_bytes_max: 2000,
@@ -107,7 +109,7 @@
     }
 
     async fn wait_for_worker_requests(&self, requests: usize) {
-        while self.worker.seen().len() < requests {
+        while self.worker.requests().len() < requests {
             tokio::task::yield_now().await;
         }
     }
@@ -158,20 +160,20 @@
 }
 
 /// A worker that answers each task with its own payload.
-async fn echo_worker() -> ScriptWorker {
+async fn echo_worker() -> ScriptedWorker {
     gated_worker(Arc::new(Semaphore::new(Semaphore::MAX_PERMITS))).await
 }
 
 /// An echo worker that acquires a permit of `gate` before each answer.
-async fn gated_worker(gate: Arc<Semaphore>) -> ScriptWorker {
-    ScriptWorker::start(move |seen| {
+async fn gated_worker(gate: Arc<Semaphore>) -> ScriptedWorker {
+    ScriptedWorker::start(move |request| {
         let gate = Arc::clone(&gate);
         async move {
             gate.acquire().await.unwrap().forget();
-            let task = format!("trefoil-task: {}\r\n", seen.task());
-            Reply {
-                text: answer("200 OK", &task, &seen.body),
-                then: Then::KeepOpen,
+            let task = format!("trefoil-task: {}\r\n", request.task());
+            ScriptedResponse {
+                text: response_text("200 OK", &task, &request.body),
+                after: AfterResponse::KeepOpen,
             }
         }
     })
@@ -203,7 +205,7 @@
     let body = format!(r#"{{"service":"{SERVICE}","tasks":[{{"payload":{payload}}}]}}"#);
     let answer = instance.send(submission(&mint_key(), body)).await;
     assert_eq!(answer.status, StatusCode::OK, "{}", answer.text);
-    assert_eq!(instance.worker.seen()[0].body, payload);
+    assert_eq!(instance.worker.requests()[0].body, payload);
     assert!(answer.text.contains(payload));
 }
 
@@ -274,7 +276,7 @@
         unknown service: 404 unknown_service not_run null
         unknown team: 404 unknown_team not_run null
     "#]].assert_eq(&table);
-    assert!(instance.worker.seen().is_empty());
+    assert!(instance.worker.requests().is_empty());
 }
 
 /// Guards against reading a body that its `Content-Length` declares too large.
@@ -310,7 +312,7 @@
     assert_eq!(second.body["replayed"], json!(true));
     let third = instance.submit(&key, &body).await;
     assert_eq!(third.body["results"], json!([1, 2]));
-    assert_eq!(instance.worker.seen().len(), 2);
+    assert_eq!(instance.worker.requests().len(), 2);
 }
 
 #[tokio::test]
@@ -320,7 +322,7 @@
     instance.submit(&key, &job_body(&[json!(1)])).await;
     let answer = instance.submit(&key, &job_body(&[json!(2)])).await;
     assert_eq!(answer.status, StatusCode::CONFLICT);
-    assert_eq!(instance.worker.seen().len(), 1);
+    assert_eq!(instance.worker.requests().len(), 1);
 }
 
 /// Guards against a "not run" verdict for a malformed request under a key that ran.
@@ -352,7 +354,7 @@
     gate.add_permits(1);
     let again = instance.submit(&key, &body).await;
     assert_eq!(again.body["results"], json!([1]));
-    assert_eq!(instance.worker.seen().len(), 1);
+    assert_eq!(instance.worker.requests().len(), 1);
 }
 
 #[tokio::test]
@@ -396,7 +398,7 @@
     while instance.runtime.engine().stats().tasks_running > 0 {
         tokio::task::yield_now().await;
     }
-    assert_eq!(instance.worker.seen().len(), 8);
+    assert_eq!(instance.worker.requests().len(), 8);
 }
 
 #[tokio::test]
@@ -413,8 +415,8 @@
 
 #[tokio::test]
 async fn job_refused_by_the_only_worker_is_not_run() {
-    let refusing = answer("503 Service Unavailable", "", "");
-    let instance = Instance::new(ScriptWorker::fixed(&refusing, Then::KeepOpen).await);
+    let refusing = response_text("503 Service Unavailable", "", "");
+    let instance = Instance::new(ScriptedWorker::fixed(&refusing, AfterResponse::KeepOpen).await);
     let mut body = job_body(&[json!(1)]);
     body["deadline_ms"] = json!(500);
     let answer = instance.submit(&mint_key(), &body).await;
@@ -440,10 +442,10 @@
     let headers = request.headers_mut();
     headers.insert("traceparent", traceparent.parse().unwrap());
     assert_eq!(instance.send(request).await.status, StatusCode::OK);
-    let seen = instance.worker.seen();
-    assert_eq!(seen[0].header("traceparent"), Some(traceparent));
+    let requests = instance.worker.requests();
+    assert_eq!(requests[0].header("traceparent"), Some(traceparent));
     instance.submit(&mint_key(), &job_body(&[json!(1)])).await;
-    assert_eq!(instance.worker.seen()[1].header("traceparent"), None);
+    assert_eq!(instance.worker.requests()[1].header("traceparent"), None);
 }
 
 #[tokio::test]
--- a/tests/testsuite/workers.rs
+++ b/tests/testsuite/workers.rs
@@ -1,13 +1,13 @@
-//! Whether the worker client says truthfully that a task may have run.
+//! Whether the worker client reports correctly that a task may have run.
 
-pub mod script;
+pub mod scripted_worker;
 
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
 use std::time::Duration;
 
 use bytes::Bytes;
-use script::{Reply, ScriptWorker, Then, answer};
+use scripted_worker::{AfterResponse, ScriptedResponse, ScriptedWorker, response_text};
 use tokio::net::TcpSocket;
 use tokio::sync::Semaphore;
 use trefoil_core::engine::TaskOutcome;
@@ -36,8 +36,8 @@
     }
 }
 
-/// The outcome without its text for people.
-fn kind(outcome: &TaskOutcome) -> &'static str {
+/// Name of an outcome, without its detail.
+fn outcome_name(outcome: &TaskOutcome) -> &'static str {
     match outcome {
         TaskOutcome::Done(_) => "done",
         TaskOutcome::Failed(_) => "failed",
@@ -46,24 +46,29 @@
     }
 }
 
-/// Outcome and number of requests read for one call to a fixed answer.
-async fn outcome_of(text: &str, then: Then) -> (&'static str, usize) {
-    let worker = ScriptWorker::fixed(text, then).await;
+/// Outcome of a call to a worker with a fixed response, and the number of
+/// requests that the worker read.
+async fn outcome_of(text: &str, after: AfterResponse) -> (&'static str, usize) {
+    let worker = ScriptedWorker::fixed(text, after).await;
     let outcome = client().call(&call(&worker.address, 0)).await;
-    (kind(&outcome), worker.seen().len())
+    (outcome_name(&outcome), worker.requests().len())
 }
 
 #[tokio::test]
-async fn answers_are_classified() {
+async fn responses_map_to_outcomes() {
     let long = format!("\"{}\"", "x".repeat(RESULT_BYTES_MAX));
     let rows = [
         (
             "200 echo",
-            answer("200 OK", "trefoil-task: 1764691200000-week-49/0/1\r\n", "1"),
+            response_text("200 OK", "trefoil-task: 1764691200000-week-49/0/1\r\n", "1"),
             "done",
         ),
-        ("200 no echo", answer("200 OK", "", "{\"a\":[1]}"), "done"),
-        ("200 empty", answer("200 OK", "", ""), "done"),
+        (
+            "200 no echo",
+            response_text("200 OK", "", "{\"a\":[1]}"),
+            "done",
+        ),
+        ("200 empty", response_text("200 OK", "", ""), "done"),
         (
             "200 chunked",
             "HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n2\r\n12\r\n0\r\n\r\n".into(),
@@ -71,16 +76,20 @@
         ),
         (
             "200 other task",
-            answer("200 OK", "trefoil-task: 1764691200000-week-49/1/1\r\n", "1"),
+            response_text("200 OK", "trefoil-task: 1764691200000-week-49/1/1\r\n", "1"),
             "may_have_run",
         ),
         (
             "200 other attempt",
-            answer("200 OK", "trefoil-task: 1764691200000-week-49/0/2\r\n", "1"),
+            response_text("200 OK", "trefoil-task: 1764691200000-week-49/0/2\r\n", "1"),
+            "may_have_run",
+        ),
+        ("200 not JSON", response_text("200 OK", "", "1 2"), "failed"),
+        (
+            "200 oversized",
+            response_text("200 OK", "", &long),
             "may_have_run",
         ),
-        ("200 not JSON", answer("200 OK", "", "1 2"), "failed"),
-        ("200 oversized", answer("200 OK", "", &long), "may_have_run"),
         (
             "200 truncated",
             "HTTP/1.1 200 OK\r\ncontent-length: 9\r\n\r\n[1,2".into(),
@@ -99,51 +108,59 @@
         ("head truncated", "HTTP/1.1 200 O".into(), "may_have_run"),
         ("not HTTP", "hello\r\n\r\n".into(), "may_have_run"),
         ("no answer", String::new(), "may_have_run"),
-        ("429", answer("429 Too Many Requests", "", ""), "not_run"),
+        (
+            "429",
+            response_text("429 Too Many Requests", "", ""),
+            "not_run",
+        ),
         (
             "503",
-            answer("503 Service Unavailable", "", "busy"),
+            response_text("503 Service Unavailable", "", "busy"),
             "not_run",
         ),
         (
             "503 other task",
-            answer("503 Service Unavailable", "trefoil-task: x/0/1\r\n", ""),
+            response_text("503 Service Unavailable", "trefoil-task: x/0/1\r\n", ""),
             "may_have_run",
         ),
         (
             "500",
-            answer("500 Internal Server Error", "", "no"),
+            response_text("500 Internal Server Error", "", "no"),
+            "failed",
+        ),
+        ("404", response_text("404 Not Found", "", ""), "failed"),
+        (
+            "302",
+            response_text("302 Found", "location: /\r\n", ""),
             "failed",
         ),
-        ("404", answer("404 Not Found", "", ""), "failed"),
-        ("302", answer("302 Found", "location: /\r\n", ""), "failed"),
     ];
     for (name, text, expected) in rows {
-        let outcome = outcome_of(&text, Then::Close).await;
+        let outcome = outcome_of(&text, AfterResponse::Close).await;
         assert_eq!(outcome, (expected, 1), "{name}");
     }
 }
 
 #[tokio::test]
-async fn nothing_listens() {
-    // Bound but not listening, so that nobody else can take the port.
+async fn call_without_a_listener_is_not_run() {
+    // Bound but not listening, so that no other process can use the port.
     let socket = TcpSocket::new_v4().unwrap();
     socket.bind("127.0.0.1:0".parse().unwrap()).unwrap();
     let closed = socket.local_addr().unwrap().to_string();
     for address in [closed.as_str(), "no-address"] {
         let outcome = client().call(&call(address, 0)).await;
-        assert_eq!(kind(&outcome), "not_run", "{address}: {outcome:?}");
+        assert_eq!(outcome_name(&outcome), "not_run", "{address}: {outcome:?}");
     }
 }
 
 #[tokio::test]
-async fn closes_before_reading() {
-    let worker = ScriptWorker::closing().await;
+async fn connection_closed_before_reading_is_never_done() {
+    let worker = ScriptedWorker::closing_connections().await;
     for index in 0..200 {
         let outcome = client().call(&call(&worker.address, index)).await;
-        // Whether the socket took bytes before it closed is up to the kernel.
+        // The kernel decides whether the socket accepts bytes before it closes.
         assert!(
-            ["not_run", "may_have_run"].contains(&kind(&outcome)),
+            ["not_run", "may_have_run"].contains(&outcome_name(&outcome)),
             "{outcome:?}"
         );
     }
@@ -151,23 +168,23 @@
 
 #[tokio::test]
 async fn silent_worker_may_have_run() {
-    let worker = ScriptWorker::start(|_| std::future::pending::<Reply>()).await;
+    let worker = ScriptedWorker::start(|_| std::future::pending::<ScriptedResponse>()).await;
     let call = WorkerCall {
         timeout_ms: 50,
         ..call(&worker.address, 0)
     };
-    assert_eq!(kind(&client().call(&call).await), "may_have_run");
-    assert_eq!(worker.seen().len(), 1);
+    assert_eq!(outcome_name(&client().call(&call).await), "may_have_run");
+    assert_eq!(worker.requests().len(), 1);
 }
 
 #[tokio::test]
-async fn crossed_answer_is_counted_and_its_connection_closed() {
-    let crossed = answer("200 OK", "trefoil-task: another/0/1\r\n", "1");
-    let worker = ScriptWorker::fixed(&crossed, Then::KeepOpen).await;
+async fn response_naming_another_task_is_counted_and_closes_its_connection() {
+    let crossed = response_text("200 OK", "trefoil-task: another/0/1\r\n", "1");
+    let worker = ScriptedWorker::fixed(&crossed, AfterResponse::KeepOpen).await;
     let client = client();
     for index in 0..3 {
         let outcome = client.call(&call(&worker.address, index)).await;
-        assert_eq!(kind(&outcome), "may_have_run");
+        assert_eq!(outcome_name(&outcome), "may_have_run");
     }
     assert_eq!(client.counters().crossed_answers.load(Ordering::Relaxed), 3);
     assert_eq!(
@@ -176,31 +193,32 @@
     );
 }
 
-/// An answer that comes after its call gave up must not reach the next call.
+/// Guards against a response that arrives after its call timed out being taken
+/// for the response to the next call.
 #[tokio::test]
-async fn late_answer_is_not_the_next_calls() {
+async fn late_response_is_not_taken_for_the_next_call() {
     let gate = Arc::new(Semaphore::new(0));
-    let held = Arc::clone(&gate);
-    let worker = ScriptWorker::start(move |seen| {
-        let held = Arc::clone(&held);
+    let task_gate = Arc::clone(&gate);
+    let worker = ScriptedWorker::start(move |request| {
+        let task_gate = Arc::clone(&task_gate);
         async move {
-            if seen.task().ends_with("/0/1") {
-                held.acquire().await.unwrap().forget();
+            if request.task().ends_with("/0/1") {
+                task_gate.acquire().await.unwrap().forget();
             }
-            let body = format!("\"{}\"", seen.task());
-            Reply {
-                text: answer("200 OK", "", &body),
-                then: Then::KeepOpen,
+            let body = format!("\"{}\"", request.task());
+            ScriptedResponse {
+                text: response_text("200 OK", "", &body),
+                after: AfterResponse::KeepOpen,
             }
         }
     })
     .await;
     let client = client();
-    let late = WorkerCall {
+    let timed_out = WorkerCall {
         timeout_ms: 50,
         ..call(&worker.address, 0)
     };
-    assert_eq!(kind(&client.call(&late).await), "may_have_run");
+    assert_eq!(outcome_name(&client.call(&timed_out).await), "may_have_run");
     gate.add_permits(1);
     for index in 1..20 {
         let outcome = client.call(&call(&worker.address, index)).await;
@@ -210,13 +228,13 @@
 }
 
 #[tokio::test]
-async fn unasked_answer_on_an_idle_connection_is_not_taken() {
-    let twice = answer("200 OK", "", "1").repeat(2);
-    let worker = ScriptWorker::fixed(&twice, Then::KeepOpen).await;
+async fn unsolicited_response_on_an_idle_connection_is_ignored() {
+    let repeated = response_text("200 OK", "", "1").repeat(2);
+    let worker = ScriptedWorker::fixed(&repeated, AfterResponse::KeepOpen).await;
     let client = client();
     for index in 0..50 {
         let outcome = client.call(&call(&worker.address, index)).await;
-        assert_eq!(kind(&outcome), "done");
+        assert_eq!(outcome_name(&outcome), "done");
     }
     assert!(worker.starts().values().all(|starts| *starts == 1));
     assert_eq!(
@@ -225,19 +243,20 @@
     );
 }
 
-/// The worker closes kept-alive connections at any moment after its answer.
+/// Guards against a task being sent twice when the worker closes a kept-alive
+/// connection while it is reused.
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
-async fn idle_connection_closed_then_reused_starts_once() {
+async fn reuse_of_a_closing_connection_starts_a_task_at_most_once() {
     const CALLS: u32 = 2000;
-    let worker = ScriptWorker::start(|seen| async move {
-        let index: u64 = seen.task().split('/').nth(1).unwrap().parse().unwrap();
-        let then = match index % 2 {
-            0 => Then::KeepOpen,
-            _ => Then::CloseAfter(Duration::from_micros(index * 7 % 200)),
+    let worker = ScriptedWorker::start(|request| async move {
+        let index: u64 = request.task().split('/').nth(1).unwrap().parse().unwrap();
+        let after = match index % 2 {
+            0 => AfterResponse::KeepOpen,
+            _ => AfterResponse::CloseAfter(Duration::from_micros(index * 7 % 200)),
         };
-        Reply {
-            text: answer("200 OK", "", "1"),
-            then,
+        ScriptedResponse {
+            text: response_text("200 OK", "", "1"),
+            after,
         }
     })
     .await;
@@ -245,8 +264,8 @@
     let mut outcomes = Vec::new();
     for index in 0..CALLS {
         let outcome = client.call(&call(&worker.address, index)).await;
-        outcomes.push((index, kind(&outcome)));
-        script::pause(Duration::from_micros(u64::from(index) * 11 % 200)).await;
+        outcomes.push((index, outcome_name(&outcome)));
+        scripted_worker::pause(Duration::from_micros(u64::from(index) * 11 % 200)).await;
     }
     let starts = worker.starts();
     for (index, outcome) in &outcomes {
@@ -261,7 +280,7 @@
             other => panic!("task {index}: {other}"),
         }
     }
-    let count = |kind: &str| outcomes.iter().filter(|(_, found)| *found == kind).count();
+    let count = |name: &str| outcomes.iter().filter(|(_, found)| *found == name).count();
     println!(
         "done {}, not run {}, may have run {}",
         count("done"),
@@ -273,10 +292,11 @@
 
 #[tokio::test]
 async fn connections_are_bounded_and_reused() {
-    const BOUND: usize = 4;
-    let worker = ScriptWorker::fixed(&answer("200 OK", "", "1"), Then::KeepOpen).await;
+    const CONNECTIONS_MAX: usize = 4;
+    let worker =
+        ScriptedWorker::fixed(&response_text("200 OK", "", "1"), AfterResponse::KeepOpen).await;
     let client = Arc::new(client());
-    client.set_connections_max(BOUND as u32);
+    client.set_connections_max(CONNECTIONS_MAX as u32);
     let calls: Vec<_> = (0..200)
         .map(|index| {
             let (client, call) = (Arc::clone(&client), call(&worker.address, index));
@@ -284,37 +304,38 @@
         })
         .collect();
     for call in calls {
-        assert_eq!(kind(&call.await.unwrap()), "done");
+        assert_eq!(outcome_name(&call.await.unwrap()), "done");
     }
-    assert_eq!(worker.open_max(), BOUND);
+    assert_eq!(worker.open_max(), CONNECTIONS_MAX);
     assert_eq!(
         client.counters().connections_opened.load(Ordering::Relaxed),
-        BOUND as u64
+        CONNECTIONS_MAX as u64
     );
 }
 
 #[tokio::test]
 async fn call_without_a_connection_in_time_is_not_run() {
-    let worker = ScriptWorker::start(|_| std::future::pending::<Reply>()).await;
+    let worker = ScriptedWorker::start(|_| std::future::pending::<ScriptedResponse>()).await;
     let client = Arc::new(client());
     client.set_connections_max(1);
     let (first, held) = (Arc::clone(&client), call(&worker.address, 0));
     let held = tokio::spawn(async move { first.call(&held).await });
-    while worker.seen().is_empty() {
+    while worker.requests().is_empty() {
         tokio::task::yield_now().await;
     }
     let second = WorkerCall {
         timeout_ms: 50,
         ..call(&worker.address, 1)
     };
-    assert_eq!(kind(&client.call(&second).await), "not_run");
-    assert_eq!(worker.seen().len(), 1);
+    assert_eq!(outcome_name(&client.call(&second).await), "not_run");
+    assert_eq!(worker.requests().len(), 1);
     held.abort();
 }
 
 #[tokio::test]
 async fn request_names_its_task() {
-    let worker = ScriptWorker::fixed(&answer("200 OK", "", "1"), Then::KeepOpen).await;
+    let worker =
+        ScriptedWorker::fixed(&response_text("200 OK", "", "1"), AfterResponse::KeepOpen).await;
     let traceparent = "00-0af7651916cd43dd8448eb211c80319c-b7ad6b7169203331-01";
     let call = WorkerCall {
         traceparent: Some(traceparent.into()),
@@ -322,10 +343,10 @@
         ..call(&worker.address, 7)
     };
     client().call(&call).await;
-    let seen = &worker.seen()[0];
-    assert!(seen.head.starts_with("POST /run HTTP/1.1\r\n"));
-    assert_eq!(seen.task(), format!("{KEY}/7/3"));
-    assert_eq!(seen.header("traceparent"), Some(traceparent));
-    assert_eq!(seen.header("host"), Some(worker.address.as_str()));
-    assert_eq!(seen.body, "{\"pay\":12.50}");
+    let request = &worker.requests()[0];
+    assert!(request.head.starts_with("POST /run HTTP/1.1\r\n"));
+    assert_eq!(request.task(), format!("{KEY}/7/3"));
+    assert_eq!(request.header("traceparent"), Some(traceparent));
+    assert_eq!(request.header("host"), Some(worker.address.as_str()));
+    assert_eq!(request.body, "{\"pay\":12.50}");
 }
