--- a/examples/caller_overhead.rs
+++ b/examples/caller_overhead.rs
@@ -26,7 +26,7 @@
 use trefoil_schema::resources::{BackendServerSpec, BackendServerState, ServiceSpec, TeamSpec};
 use trefoil_schema::settings::{JobSettings, WorkerSettings};
 use trefoilbay::http::caller::{self, CallerContext};
-use trefoilbay::runtime::dispatch::{Dispatch, fingerprint};
+use trefoilbay::runtime::dispatch::{Dispatcher, fingerprint};
 use trefoilbay::runtime::{RequestContext, Runtime};
 use trefoilbay::util::clock::Clock;
 use trefoilbay::workers::{WorkerCall, WorkerClient};
@@ -228,7 +228,7 @@
 /// Serves callers; returns the address.
 async fn serve(runtime: &Arc<Runtime>) -> String {
     let context = CallerContext {
-        dispatch: Dispatch::new(Arc::clone(runtime)),
+        dispatch: Dispatcher::new(Arc::clone(runtime)),
         jobs: Arc::new(JobSettings::default()),
         failure_domain: DOMAIN.into(),
     };
--- a/src/http/caller.rs
+++ b/src/http/caller.rs
@@ -26,7 +26,7 @@
 use trefoil_schema::settings::JobSettings;
 
 use crate::runtime::RequestContext;
-use crate::runtime::dispatch::Dispatch;
+use crate::runtime::dispatch::Dispatcher;
 use crate::util::telemetry::trace::{Hop, note_answer};
 use answer::Operation;
 use request::{CheckedJob, JobSubmission, RequestError};
@@ -40,7 +40,7 @@
 #[derive(Clone)]
 pub struct CallerContext {
     /// Routes requests to the owner of their key.
-    pub dispatch: Dispatch,
+    pub dispatch: Dispatcher,
     /// Limits on jobs.
     pub jobs: Arc<JobSettings>,
     /// Failure domain that minted keys name.
@@ -120,7 +120,7 @@
 
 /// Submits a validated job within a span that becomes the parent of later hops.
 async fn submit_traced(
-    dispatch: &Dispatch,
+    dispatch: &Dispatcher,
     job: CheckedJob,
     headers: &HeaderMap,
     received_at: Instant,
--- a/src/runtime/dispatch.rs
+++ b/src/runtime/dispatch.rs
@@ -15,12 +15,12 @@
 
 /// Takes callers' requests to the instance that owns their key.
 #[derive(Clone)]
-pub struct Dispatch {
+pub struct Dispatcher {
     runtime: Arc<Runtime>,
     peers: Option<Arc<Peers>>,
 }
 
-impl Dispatch {
+impl Dispatcher {
     /// A dispatch to this instance alone.
     pub fn new(runtime: Arc<Runtime>) -> Self {
         Self {
--- a/src/server/components.rs
+++ b/src/server/components.rs
@@ -22,7 +22,7 @@
 use crate::http::operator::{self, OperatorContext};
 use crate::http::problem::Problem;
 use crate::peers::{Peers, PeersContext};
-use crate::runtime::dispatch::Dispatch;
+use crate::runtime::dispatch::Dispatcher;
 use crate::runtime::{Runtime, TickerGuard};
 use crate::sources::config::{ConfigHandle, ConfigSync};
 use crate::sources::instances;
@@ -108,7 +108,7 @@
             conditions: Arc::new(move |key| conditions.of(key)),
         };
         let caller = CallerContext {
-            dispatch: Dispatch::with_peers(self.runtime.clone(), self.peers.clone()),
+            dispatch: Dispatcher::with_peers(self.runtime.clone(), self.peers.clone()),
             jobs: Arc::new(context.settings.jobs.clone()),
             failure_domain: Arc::from(context.settings.failure_domain.as_str()),
         };
--- a/tests/testsuite/caller.rs
+++ b/tests/testsuite/caller.rs
@@ -13,7 +13,7 @@
 use trefoil_schema::resources::{BackendServerSpec, BackendServerState, ServiceSpec, TeamSpec};
 use trefoil_schema::settings::{JobSettings, WorkerSettings};
 use trefoilbay::http::caller::{self, CallerContext};
-use trefoilbay::runtime::dispatch::Dispatch;
+use trefoilbay::runtime::dispatch::Dispatcher;
 use trefoilbay::runtime::{Runtime, TickerGuard};
 use trefoilbay::workers::WorkerClient;
 
@@ -67,7 +67,7 @@
         runtime.set_domain_members("entry-1", &["entry-1".to_owned()]);
         runtime.set_config(Arc::new(config(&worker.address)));
         let context = CallerContext {
-            dispatch: Dispatch::new(Arc::clone(&runtime)),
+            dispatch: Dispatcher::new(Arc::clone(&runtime)),
             jobs: Arc::new(jobs),
             failure_domain: DOMAIN.into(),
         };
