--- a/src/runtime.rs
+++ b/src/runtime.rs
@@ -1,15 +1,15 @@
-//! Drives the engine: events in, commands out to workers and waiters.
+//! Drives the engine: passes events to it and executes its commands.
 //!
-//! * [`waiters`]: who waits for an answer.
-//! * [`tasks`]: placements on their way to workers.
-//! * [`service_windows`]: how each service's jobs were answered lately.
-//! * [`traces`]: trace contexts of running jobs.
-//! * [`dispatch`]: where callers' requests enter.
+//! * [`waiters`]: requests that wait for an answer.
+//! * [`placements`]: sends tasks to workers.
+//! * [`service_windows`]: recent responses of each service.
+//! * [`trace_contexts`]: trace contexts of running jobs.
+//! * [`dispatch`]: routes requests to the owner of their key.
 
 pub mod dispatch;
+mod placements;
 pub mod service_windows;
-pub mod tasks;
-pub mod traces;
+mod trace_contexts;
 pub mod waiters;
 
 use std::future::Future;
@@ -33,32 +33,33 @@
 use crate::util::telemetry::Telemetry;
 use crate::util::telemetry::trace::{Hop, HopSpan};
 use crate::workers::{WorkerCall, WorkerClient};
+use placements::Placement;
 use service_windows::ServiceWindows;
-use tasks::Placement;
-use traces::TraceContexts;
+use trace_contexts::TraceContexts;
 use waiters::{WaiterGuard, Waiters};
 
-/// Period of the engine's ticks.
-const TICK: Duration = Duration::from_millis(10);
-/// Ticks between sweeps of idle connections and old trace contexts.
+/// Interval between ticks of the engine.
+const TICK_INTERVAL: Duration = Duration::from_millis(10);
+/// Ticks between removals of idle connections and expired entries.
 const TICKS_PER_SWEEP: u64 = 100;
 
-/// What came with a submission besides the job.
+/// Data of a submission's request that is not part of the job.
 #[derive(Clone, Debug, Default)]
 pub struct RequestContext {
-    /// W3C trace context to pass on.
+    /// W3C trace context to send to workers.
     pub traceparent: Option<Arc<str>>,
-    /// When the request was whole here; its admission is timed from then.
+    /// When this instance had received the whole request; the admission
+    /// overhead is measured from then.
     pub received_at: Option<Instant>,
 }
 
-/// The engine of this instance with its clock, its waiters and its workers.
+/// The engine of this instance with its clock, waiters and worker client.
 pub struct Runtime {
     engine: Engine,
     clock: Clock,
     waiters: Waiters,
     workers: WorkerClient,
-    traces: TraceContexts,
+    trace_contexts: TraceContexts,
     service_windows: ServiceWindows,
     config: watch::Sender<Arc<ConfigSnapshot>>,
     handle: Handle,
@@ -66,20 +67,21 @@
 }
 
 impl Runtime {
-    /// A runtime that spawns on the current tokio runtime.
+    /// Creates a runtime without telemetry, which spawns on the current tokio
+    /// runtime.
     ///
     /// # Panics
     ///
-    /// Outside a tokio runtime.
+    /// Panics if called outside a tokio runtime.
     pub fn new(engine: Engine, workers: WorkerClient) -> Arc<Self> {
         Self::with_telemetry(engine, workers, None)
     }
 
-    /// As [`Self::new`], with counts and spans of placements in `telemetry`.
+    /// Like [`Self::new`], with metrics and spans of placements in `telemetry`.
     ///
     /// # Panics
     ///
-    /// Outside a tokio runtime.
+    /// Panics if called outside a tokio runtime.
     pub fn with_telemetry(
         engine: Engine,
         workers: WorkerClient,
@@ -90,7 +92,7 @@
             clock: Clock::start(),
             waiters: Waiters::default(),
             workers,
-            traces: TraceContexts::default(),
+            trace_contexts: TraceContexts::default(),
             service_windows: ServiceWindows::default(),
             config: watch::Sender::default(),
             handle: Handle::current(),
@@ -98,22 +100,22 @@
         })
     }
 
-    /// The engine, for settings that push no command.
+    /// The engine, for calls that produce no commands.
     pub fn engine(&self) -> &Engine {
         &self.engine
     }
 
-    /// The client of workers, for its counters and bounds.
+    /// The worker client, for its counters and limits.
     pub fn workers(&self) -> &WorkerClient {
         &self.workers
     }
 
-    /// How each service's jobs were answered here lately.
+    /// Recent responses of each service to callers of this instance.
     pub fn service_windows(&self) -> &ServiceWindows {
         &self.service_windows
     }
 
-    /// The declarations in force.
+    /// The configuration in force.
     pub fn config(&self) -> Arc<ConfigSnapshot> {
         Arc::clone(&self.config.borrow())
     }
@@ -123,7 +125,7 @@
         self.clock.now()
     }
 
-    /// A span for one hop of a request; none without telemetry.
+    /// Opens a span for one hop of a request; a no-op without telemetry.
     pub fn span(&self, hop: Hop, header: Option<&str>) -> HopSpan {
         match &self.telemetry {
             Some(telemetry) => telemetry.span_below(hop, header),
@@ -131,14 +133,14 @@
         }
     }
 
-    /// Answers that are awaited.
-    pub fn waiters_len(&self) -> usize {
+    /// Number of requests that wait for an answer.
+    pub fn waiter_count(&self) -> usize {
         self.waiters.len()
     }
 
-    /// Submits a job; with `wait` the answer comes when the job is final.
+    /// Submits a job; with `wait`, answers once the job is final.
     ///
-    /// A caller that stops waiting leaves its job running.
+    /// Dropping the future does not cancel the job.
     pub async fn submit(
         self: &Arc<Self>,
         submission: Submission,
@@ -146,30 +148,30 @@
         request: RequestContext,
     ) -> JobAnswer {
         let key = submission.key.clone();
-        let forget_ms = self.now().mono_ms + submission.timeout_ms;
+        let expires_ms = self.now().mono_ms + submission.timeout_ms;
         let traced = request
             .traceparent
-            .is_some_and(|traceparent| self.traces.insert(&key, traceparent, forget_ms));
+            .is_some_and(|traceparent| self.trace_contexts.insert(&key, traceparent, expires_ms));
         let submit = |waiter, out: &mut Vec<Command>| {
             self.engine
                 .submit(self.now(), submission, waiter, wait, out);
-            self.time_admission(request.received_at);
+            self.record_admission_overhead(request.received_at);
         };
-        let answer = self.answer(key.clone(), submit).await;
+        let answer = self.await_answer(key.clone(), submit).await;
         if traced && !is_running(&answer) {
-            self.traces.remove(&key);
+            self.trace_contexts.remove(&key);
         }
         answer
     }
 
-    fn time_admission(&self, received_at: Option<Instant>) {
+    fn record_admission_overhead(&self, received_at: Option<Instant>) {
         if let (Some(telemetry), Some(received_at)) = (&self.telemetry, received_at) {
             let overhead_us = received_at.elapsed().as_secs_f64() * 1e6;
             telemetry.counters().admitted(overhead_us);
         }
     }
 
-    /// Tells a job's state, or its end if it comes within `wait_ms`.
+    /// Returns a job's state, waiting up to `wait_ms` for it to become final.
     pub async fn fetch(self: &Arc<Self>, key: &JobKey, wait_ms: u64) -> JobAnswer {
         if wait_ms > 0 {
             let limit = Duration::from_millis(wait_ms);
@@ -182,7 +184,7 @@
     }
 
     async fn fetch_once(self: &Arc<Self>, key: &JobKey, wait: bool) -> JobAnswer {
-        self.answer(key.clone(), |waiter, out| {
+        self.await_answer(key.clone(), |waiter, out| {
             self.engine.fetch(self.now(), key, waiter, wait, out);
         })
         .await
@@ -190,20 +192,21 @@
 
     /// Cancels a job; its queued tasks never start.
     pub async fn cancel(self: &Arc<Self>, key: &JobKey) -> JobAnswer {
-        self.answer(key.clone(), |waiter, out| {
+        self.await_answer(key.clone(), |waiter, out| {
             self.engine.cancel(self.now(), key, waiter, out);
         })
         .await
     }
 
-    /// Answers for a key that may not start here: from memory, or `absent`.
+    /// Answers for a key that may not start here: the remembered job, or
+    /// `absent` if there is none.
     pub async fn recall(
         self: &Arc<Self>,
         key: &JobKey,
         fingerprint: Option<u64>,
         absent: Refusal,
     ) -> JobAnswer {
-        self.answer(key.clone(), |waiter, out| {
+        self.await_answer(key.clone(), |waiter, out| {
             let now = self.now();
             self.engine
                 .answer_without_admission(now, key, fingerprint, absent, waiter, out);
@@ -211,31 +214,32 @@
         .await
     }
 
-    /// Puts declarations in force.
+    /// Puts a configuration in force.
     pub fn set_config(self: &Arc<Self>, config: Arc<ConfigSnapshot>) {
         let mut out = Vec::new();
         self.engine.set_config(self.now(), &config, &mut out);
         self.config.send_replace(config);
-        self.execute(&mut out);
+        self.execute_commands(&mut out);
     }
 
-    /// Takes the failure domain's instances, `me` among them.
+    /// Sets the instances of the failure domain, including this one, `me`.
     pub fn set_domain_members(self: &Arc<Self>, me: &str, members: &[String]) {
         let mut out = Vec::new();
         self.engine
             .set_domain_members(self.now(), me, members, &mut out);
-        self.execute(&mut out);
+        self.execute_commands(&mut out);
     }
 
-    /// Starts what has a slot, and gives what to tell peers about slots.
+    /// Returns idle borrowed slots and requests loans for queued tasks; the
+    /// messages are to be sent to peers.
     pub fn balance(self: &Arc<Self>) -> Vec<SlotMessage> {
         let mut out = Vec::new();
         let messages = self.engine.balance_slots(self.now(), &mut out);
-        self.execute(&mut out);
+        self.execute_commands(&mut out);
         messages
     }
 
-    /// Takes slots that a peer lends for `loan_ms`, or its answer that it has none.
+    /// Accepts slots lent by a peer for `loan_ms`; `lent` is empty if it has none.
     pub fn borrow_slots(
         self: &Arc<Self>,
         lender: &str,
@@ -247,10 +251,10 @@
         let now = self.now();
         self.engine
             .borrow_slots(now, lender, service, lent, loan_ms, &mut out);
-        self.execute(&mut out);
+        self.execute_commands(&mut out);
     }
 
-    /// Takes back slots that a peer returns.
+    /// Takes back slots returned by a peer.
     pub fn take_back_slots(
         self: &Arc<Self>,
         borrower: &str,
@@ -261,33 +265,33 @@
         let now = self.now();
         self.engine
             .reclaim_slots(now, borrower, service, returned, &mut out);
-        self.execute(&mut out);
+        self.execute_commands(&mut out);
     }
 
-    /// Passes time to the engine until the guard is dropped.
+    /// Starts ticking the engine until the returned guard is dropped.
     pub fn start_ticker(self: &Arc<Self>) -> TickerGuard {
         let runtime = Arc::clone(self);
         TickerGuard(self.handle.spawn(runtime.tick_forever()))
     }
 
     async fn tick_forever(self: Arc<Self>) {
-        let mut ticks = tokio::time::interval(TICK);
+        let mut ticks = tokio::time::interval(TICK_INTERVAL);
         ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
         let mut out = Vec::new();
         for count in 1_u64.. {
             ticks.tick().await;
             self.engine.tick(self.now(), &mut out);
-            self.execute(&mut out);
+            self.execute_commands(&mut out);
             if count.is_multiple_of(TICKS_PER_SWEEP) {
                 self.workers.evict_idle();
-                self.traces.sweep(self.now().mono_ms);
-                self.service_windows.sweep(self.now().mono_ms);
+                self.trace_contexts.remove_expired(self.now().mono_ms);
+                self.service_windows.remove_expired(self.now().mono_ms);
             }
         }
     }
 
-    /// Runs one request of a waiter against the engine and awaits its answer.
-    fn answer(
+    /// Passes a request to the engine and waits for the answer.
+    fn await_answer(
         self: &Arc<Self>,
         key: JobKey,
         request: impl FnOnce(WaiterId, &mut Vec<Command>),
@@ -295,25 +299,25 @@
         let (guard, answer) = WaiterGuard::new(Arc::clone(self), key);
         let mut out = Vec::new();
         request(guard.id(), &mut out);
-        self.execute(&mut out);
+        self.execute_commands(&mut out);
         async move {
-            let answer = answer.await.unwrap_or_else(|_| unanswered());
+            let answer = answer.await.unwrap_or_else(|_| missing_answer());
             drop(guard);
             answer
         }
     }
 
-    /// Does what the engine asked for.
-    fn execute(self: &Arc<Self>, commands: &mut Vec<Command>) {
+    /// Executes the engine's commands.
+    fn execute_commands(self: &Arc<Self>, commands: &mut Vec<Command>) {
         for command in commands.drain(..) {
-            if let Some(placement) = self.execute_one(command) {
+            if let Some(placement) = self.execute_command(command) {
                 self.spawn(placement);
             }
         }
     }
 
-    /// Answers a waiter, or returns the placement to be sent.
-    fn execute_one(&self, command: Command) -> Option<Placement> {
+    /// Answers a waiter, or returns the placement to send.
+    fn execute_command(&self, command: Command) -> Option<Placement> {
         match command {
             Command::Answer { waiter, answer } => {
                 self.waiters.complete(waiter, answer);
@@ -330,7 +334,7 @@
                 payload,
                 timeout_ms,
             } => {
-                let traceparent = self.traces.get(&key);
+                let traceparent = self.trace_contexts.get(&key);
                 let call = WorkerCall {
                     key,
                     index,
@@ -348,7 +352,7 @@
 
     fn spawn(self: &Arc<Self>, placement: Placement) {
         let runtime = Arc::clone(self);
-        self.handle.spawn(tasks::run(runtime, placement));
+        self.handle.spawn(placements::run(runtime, placement));
     }
 }
 
@@ -366,8 +370,9 @@
     matches!(answer, JobAnswer::Known { state, .. } if *state == JobState::Running)
 }
 
-/// The engine answers each waiter; this stands in should it not.
-fn unanswered() -> JobAnswer {
+/// Answer to a waiter that the engine dropped without an answer, which it should
+/// never do.
+fn missing_answer() -> JobAnswer {
     JobAnswer::Refused(Refusal {
         reason: RefusalReason::OwnerLost,
         detail: "the job was dropped without an answer".to_owned(),
--- a/src/runtime/dispatch.rs
+++ b/src/runtime/dispatch.rs
@@ -1,4 +1,4 @@
-//! Where callers' requests enter, and which instance they go to.
+//! Routes callers' requests to the instance that owns their key.
 
 use std::sync::Arc;
 use std::time::Instant;
@@ -13,7 +13,7 @@
 use crate::peers::Peers;
 use crate::util::telemetry::trace::{Hop, HopSpan};
 
-/// Takes callers' requests to the instance that owns their key.
+/// Routes callers' requests to the instance that owns their key.
 #[derive(Clone)]
 pub struct Dispatcher {
     runtime: Arc<Runtime>,
@@ -21,7 +21,7 @@
 }
 
 impl Dispatcher {
-    /// A dispatch to this instance alone.
+    /// Creates a dispatcher that handles all keys in this instance.
     pub fn new(runtime: Arc<Runtime>) -> Self {
         Self {
             runtime,
@@ -29,7 +29,7 @@
         }
     }
 
-    /// A dispatch to the owner of each key.
+    /// Creates a dispatcher that forwards requests to the owner of each key.
     pub fn with_peers(runtime: Arc<Runtime>, peers: Arc<Peers>) -> Self {
         Self {
             runtime,
@@ -37,7 +37,7 @@
         }
     }
 
-    /// Submits a job; with `wait` the answer comes when the job is final.
+    /// Submits a job; with `wait`, answers once the job is final.
     pub async fn submit(
         &self,
         submission: Submission,
@@ -56,7 +56,7 @@
         answer
     }
 
-    /// Tells a job's state, or its end if it comes within `wait_ms`.
+    /// Returns a job's state, waiting up to `wait_ms` for it to become final.
     pub async fn fetch(&self, key: &JobKey, wait_ms: u64) -> JobAnswer {
         match &self.peers {
             Some(peers) => peers.fetch(key, wait_ms).await,
@@ -72,12 +72,12 @@
         }
     }
 
-    /// A span for one hop of a request here.
+    /// Opens a span for one hop of a request; a no-op without telemetry.
     pub fn span(&self, hop: Hop, header: Option<&str>) -> HopSpan {
         self.runtime.span(hop, header)
     }
 
-    /// Whether a job under `key` would find its owner now.
+    /// Whether `key` currently has a serving owner.
     pub fn has_owner(&self, key: &JobKey) -> bool {
         let Some(peers) = &self.peers else {
             return true;
@@ -85,22 +85,22 @@
         matches!(peers.route(key), Route::Here | Route::Peer(_))
     }
 
-    /// The declarations in force here.
+    /// The configuration in force at this instance.
     pub fn config(&self) -> Arc<ConfigSnapshot> {
         self.runtime.config()
     }
 
-    /// Unix time here, in milliseconds.
+    /// Unix time of this instance, in milliseconds.
     pub fn wall_ms(&self) -> u64 {
         self.runtime.now().wall_ms
     }
 }
 
-/// Hash of what makes two submissions of one key the same: service, team and
-/// the payloads, byte for byte.
+/// Hash by which two submissions under one key count as equal: of the service,
+/// the team and the bytes of the payloads.
 ///
-/// Payloads are not normalised first: reading numbers into floats would make
-/// different payloads equal, and one caller would get the other's answer.
+/// Payloads are not normalized: parsing numbers as floats could make different
+/// payloads equal, so that a caller would receive the results of another job.
 pub fn fingerprint(service: &str, team: &str, tasks: &[Task]) -> u64 {
     let mut hash = Xxh3::new();
     let mut add = |part: &[u8]| {
--- a/src/runtime/tasks.rs
+++ b/src/runtime/placements.rs
@@ -1,4 +1,4 @@
-//! Placements on their way to workers.
+//! Sends placed tasks to workers and reports their outcomes to the engine.
 
 use std::sync::Arc;
 
@@ -9,30 +9,30 @@
 use crate::util::telemetry::trace::{Hop, TraceParent};
 use crate::workers::WorkerCall;
 
-/// One placement of a task, chosen by the engine.
+/// A task that the engine placed on a worker.
 #[derive(Debug)]
-pub struct Placement {
-    /// Id to report the outcome under.
-    pub task: TaskId,
-    /// What to send where.
-    pub call: WorkerCall,
+pub(crate) struct Placement {
+    /// Id under which the outcome is reported.
+    pub(crate) task: TaskId,
+    /// The call to the worker.
+    pub(crate) call: WorkerCall,
 }
 
-/// Sends a placement, reports its outcome, and goes on with the first
-/// placement that the outcome makes room for.
-pub async fn run(runtime: Arc<Runtime>, placement: Placement) {
+/// Sends a placement and reports its outcome, then continues with the first
+/// placement that the outcome made possible.
+pub(crate) async fn run(runtime: Arc<Runtime>, placement: Placement) {
     let mut out = Vec::new();
     let mut next = Some(placement);
     while let Some(placement) = next {
-        let report = OutcomeReport::new(&runtime, placement.task);
-        let outcome = call(&runtime, placement.call).await;
-        report.finish(outcome, &mut out);
-        next = execute(&runtime, &mut out);
+        let guard = OutcomeGuard::new(&runtime, placement.task);
+        let outcome = call_worker(&runtime, placement.call).await;
+        guard.finish(outcome, &mut out);
+        next = execute_commands(&runtime, &mut out);
     }
 }
 
-/// Calls the worker, within a span that the worker gets as its parent.
-async fn call(runtime: &Runtime, mut call: WorkerCall) -> TaskOutcome {
+/// Calls the worker within a span that is sent to it as the parent.
+async fn call_worker(runtime: &Runtime, mut call: WorkerCall) -> TaskOutcome {
     let Some(telemetry) = &runtime.telemetry else {
         return runtime.workers.call(&call).await;
     };
@@ -53,10 +53,10 @@
     outcome
 }
 
-fn execute(runtime: &Arc<Runtime>, commands: &mut Vec<Command>) -> Option<Placement> {
+fn execute_commands(runtime: &Arc<Runtime>, commands: &mut Vec<Command>) -> Option<Placement> {
     let mut first = None;
     for command in commands.drain(..) {
-        let Some(placement) = runtime.execute_one(command) else {
+        let Some(placement) = runtime.execute_command(command) else {
             continue;
         };
         if first.is_none() {
@@ -68,14 +68,14 @@
     first
 }
 
-/// Owes the engine an outcome; dropped without one, it reports that the task
-/// may have run.
-struct OutcomeReport<'a> {
+/// Ensures that the engine receives an outcome: reports on drop that the task
+/// may have run, unless an outcome was reported before.
+struct OutcomeGuard<'a> {
     runtime: &'a Arc<Runtime>,
     task: Option<TaskId>,
 }
 
-impl<'a> OutcomeReport<'a> {
+impl<'a> OutcomeGuard<'a> {
     fn new(runtime: &'a Arc<Runtime>, task: TaskId) -> Self {
         Self {
             runtime,
@@ -95,11 +95,11 @@
     }
 }
 
-impl Drop for OutcomeReport<'_> {
+impl Drop for OutcomeGuard<'_> {
     fn drop(&mut self) {
         let mut out = Vec::new();
-        let abandoned = TaskOutcome::MayHaveRun("the call was abandoned".to_owned());
-        self.report(abandoned, &mut out);
-        self.runtime.execute(&mut out);
+        let aborted = TaskOutcome::MayHaveRun("the call was aborted".to_owned());
+        self.report(aborted, &mut out);
+        self.runtime.execute_commands(&mut out);
     }
 }
--- a/src/runtime/service_windows.rs
+++ b/src/runtime/service_windows.rs
@@ -1,4 +1,4 @@
-//! How each service's jobs were answered here lately.
+//! Sliding-window statistics of each service's responses to callers.
 
 use std::collections::HashMap;
 use std::collections::VecDeque;
@@ -11,101 +11,102 @@
 use xxhash_rust::xxh3::xxh3_64;
 
 const SHARDS: usize = 8;
-/// Slices of the window; the oldest is forgotten whole.
-const SLICES: usize = 6;
-/// Length of a slice.
-const SLICE_MS: u64 = 10_000;
+/// Number of buckets of the window; the oldest is dropped as a whole.
+const BUCKETS: usize = 6;
+/// Length of a bucket.
+const BUCKET_MS: u64 = 10_000;
 /// Length of the window.
-pub const WINDOW_MS: u64 = SLICES as u64 * SLICE_MS;
-/// Longest response time that is told apart.
+pub const WINDOW_MS: u64 = BUCKETS as u64 * BUCKET_MS;
+/// Maximum response time recorded; longer ones count as this long.
 const RESPONSE_MAX_MS: u64 = 600_000;
-/// Digits kept of a response time: it is told within one part in a hundred.
-const DIGITS: u8 = 2;
+/// Precision of recorded response times: within 1%.
+const SIGNIFICANT_DIGITS: u8 = 2;
 const P99: f64 = 0.99;
 
-type Shard = HashMap<Arc<str>, VecDeque<Slice>>;
+type Shard = HashMap<Arc<str>, VecDeque<Bucket>>;
 
-/// The last minute of each service's answers to callers of this instance.
+/// Statistics of each service's responses in the last [`WINDOW_MS`].
 #[derive(Debug, Default)]
 pub struct ServiceWindows {
     shards: [Mutex<Shard>; SHARDS],
 }
 
-/// What a service's callers had lately.
+/// Statistics of one service's responses in the window.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Recent {
-    /// Jobs answered or refused.
+pub struct WindowStats {
+    /// Number of jobs answered or refused.
     pub jobs: u64,
-    /// Jobs refused through no fault of their callers.
+    /// Number of jobs refused for a reason that the caller did not cause.
     pub refused: u64,
-    /// Response times known: of jobs that callers waited for.
+    /// Number of response times recorded: of jobs whose callers waited.
     pub timed: u64,
-    /// Response time at the 99th percentile in milliseconds; 0 without any.
+    /// 99th percentile of the response times, in milliseconds; 0 if there are none.
     pub response_p99_ms: u64,
 }
 
 #[derive(Debug)]
-struct Slice {
+struct Bucket {
     number: u64,
     jobs: u64,
     refused: u64,
     responses: Histogram<u32>,
 }
 
-/// What an answer says of its service.
+/// How an answer counts in the statistics.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Seen {
+enum Sample {
     Timed,
     Untimed,
     Refused,
 }
 
 impl ServiceWindows {
-    /// Takes an answer that a caller got `elapsed` after it asked.
+    /// Records an answer given `elapsed` after the submission.
     pub fn record(&self, mono_ms: u64, service: &Arc<str>, elapsed: Duration, answer: &JobAnswer) {
-        let Some(seen) = seen(answer) else {
+        let Some(sample) = classify(answer) else {
             return;
         };
         let mut shard = self.shard(service);
-        let slices = match shard.get_mut(service) {
-            Some(slices) => slices,
+        let buckets = match shard.get_mut(service) {
+            Some(buckets) => buckets,
             None => shard.entry(Arc::clone(service)).or_default(),
         };
-        let slice = newest(slices, mono_ms / SLICE_MS);
-        slice.jobs += 1;
-        match seen {
-            Seen::Timed => {
+        let bucket = current_bucket(buckets, mono_ms / BUCKET_MS);
+        bucket.jobs += 1;
+        match sample {
+            Sample::Timed => {
                 let response_ms = whole_ms(elapsed);
-                slice.responses.saturating_record(response_ms);
+                bucket.responses.saturating_record(response_ms);
             }
-            Seen::Refused => slice.refused += 1,
-            Seen::Untimed => {}
+            Sample::Refused => bucket.refused += 1,
+            Sample::Untimed => {}
         }
     }
 
-    /// A service's answers of the window.
-    pub fn recent(&self, mono_ms: u64, service: &str) -> Recent {
+    /// Statistics of a service at `mono_ms`.
+    pub fn stats(&self, mono_ms: u64, service: &str) -> WindowStats {
         let shard = self.shard(service);
         let mut responses = histogram();
-        let mut recent = Recent::default();
-        let slices = shard.get(service).into_iter().flatten();
-        for slice in slices.filter(|slice| is_recent(slice, mono_ms)) {
-            recent.jobs += slice.jobs;
-            recent.refused += slice.refused;
-            // Both have the same bounds, so that nothing is out of range.
-            let _ = responses.add(&slice.responses);
+        let mut stats = WindowStats::default();
+        let buckets = shard.get(service).into_iter().flatten();
+        for bucket in buckets.filter(|bucket| is_recent(bucket, mono_ms)) {
+            stats.jobs += bucket.jobs;
+            stats.refused += bucket.refused;
+            // Cannot fail: both histograms have the same bounds.
+            let _ = responses.add(&bucket.responses);
         }
-        recent.timed = responses.len();
-        if recent.timed > 0 {
-            recent.response_p99_ms = responses.value_at_quantile(P99);
+        stats.timed = responses.len();
+        if stats.timed > 0 {
+            stats.response_p99_ms = responses.value_at_quantile(P99);
         }
-        recent
+        stats
     }
 
-    /// Forgets services without a recent answer.
-    pub fn sweep(&self, mono_ms: u64) {
+    /// Removes services without an answer in the window.
+    pub fn remove_expired(&self, mono_ms: u64) {
         for shard in &self.shards {
-            lock(shard).retain(|_, slices| slices.iter().any(|slice| is_recent(slice, mono_ms)));
+            lock(shard)
+                .retain(|_, buckets| buckets.iter().any(|bucket| is_recent(bucket, mono_ms)));
         }
     }
 
@@ -115,47 +116,48 @@
     }
 }
 
-/// The slice of `number`, made if it is not there; a clock read by another
-/// thread a moment earlier counts in the newest.
-fn newest(slices: &mut VecDeque<Slice>, number: u64) -> &mut Slice {
-    if slices.back().is_none_or(|slice| slice.number < number) {
-        if slices.len() == SLICES {
-            slices.pop_front();
+/// The newest bucket, after adding the one with `number` if it is newer. A
+/// slightly older time, read by another thread, counts in the newest bucket.
+fn current_bucket(buckets: &mut VecDeque<Bucket>, number: u64) -> &mut Bucket {
+    if buckets.back().is_none_or(|bucket| bucket.number < number) {
+        if buckets.len() == BUCKETS {
+            buckets.pop_front();
         }
-        slices.push_back(Slice {
+        buckets.push_back(Bucket {
             number,
             jobs: 0,
             refused: 0,
             responses: histogram(),
         });
     }
-    let last = slices.len() - 1;
-    &mut slices[last]
+    let last = buckets.len() - 1;
+    &mut buckets[last]
 }
 
-fn is_recent(slice: &Slice, mono_ms: u64) -> bool {
-    slice.number + SLICES as u64 > mono_ms / SLICE_MS
+fn is_recent(bucket: &Bucket, mono_ms: u64) -> bool {
+    bucket.number + BUCKETS as u64 > mono_ms / BUCKET_MS
 }
 
 fn histogram() -> Histogram<u32> {
-    Histogram::new_with_bounds(1, RESPONSE_MAX_MS, DIGITS).expect("the bounds are constant")
+    Histogram::new_with_bounds(1, RESPONSE_MAX_MS, SIGNIFICANT_DIGITS)
+        .expect("the bounds are constant")
 }
 
-/// `None` for a replay, and for refusals that the caller brought about.
-fn seen(answer: &JobAnswer) -> Option<Seen> {
+/// `None` for replays and for refusals that the caller caused.
+fn classify(answer: &JobAnswer) -> Option<Sample> {
     match answer {
         JobAnswer::Known { replayed: true, .. } => None,
         JobAnswer::Known { state, reason, .. } => match state {
-            JobState::Complete => Some(Seen::Timed),
-            JobState::Failed if *reason == FailureReason::Deadline.name() => Some(Seen::Timed),
-            JobState::Failed | JobState::Cancelled | JobState::Running => Some(Seen::Untimed),
+            JobState::Complete => Some(Sample::Timed),
+            JobState::Failed if *reason == FailureReason::Deadline.name() => Some(Sample::Timed),
+            JobState::Failed | JobState::Cancelled | JobState::Running => Some(Sample::Untimed),
         },
-        JobAnswer::Refused(refusal) => is_ours(refusal.reason).then_some(Seen::Refused),
+        JobAnswer::Refused(refusal) => is_service_fault(refusal.reason).then_some(Sample::Refused),
     }
 }
 
-/// Whether a refusal is for the service's state, not for the request.
-fn is_ours(reason: RefusalReason) -> bool {
+/// Whether a refusal is caused by the service rather than by the request.
+fn is_service_fault(reason: RefusalReason) -> bool {
     match reason {
         RefusalReason::OwnerLost
         | RefusalReason::OwnerLeft
--- a/src/runtime/traces.rs
+++ b/src/runtime/trace_contexts.rs
@@ -1,4 +1,4 @@
-//! Trace contexts of running jobs, to pass on to backend servers.
+//! Trace contexts of running jobs, to be sent to workers.
 
 use std::collections::HashMap;
 use std::sync::atomic::{AtomicUsize, Ordering};
@@ -13,42 +13,42 @@
 #[derive(Debug)]
 struct TraceContext {
     traceparent: Arc<str>,
-    forget_ms: u64,
+    expires_ms: u64,
 }
 
-/// W3C trace contexts by key; most jobs have none.
+/// W3C trace contexts by key. Most jobs have none.
 #[derive(Debug, Default)]
-pub struct TraceContexts {
+pub(crate) struct TraceContexts {
     len: AtomicUsize,
     shards: [Mutex<Shard>; SHARDS],
 }
 
 impl TraceContexts {
-    /// Keeps a job's context until `forget_ms` of the monotonic clock; false
-    /// if the job has one already.
-    pub fn insert(&self, key: &JobKey, traceparent: Arc<str>, forget_ms: u64) -> bool {
+    /// Stores a job's context until `expires_ms` on the monotonic clock; returns
+    /// false if the job already has one.
+    pub(crate) fn insert(&self, key: &JobKey, traceparent: Arc<str>, expires_ms: u64) -> bool {
         let mut shard = self.shard(key);
         if shard.contains_key(key) {
             return false;
         }
         let context = TraceContext {
             traceparent,
-            forget_ms,
+            expires_ms,
         };
         shard.insert(key.clone(), context);
         self.len.fetch_add(1, Ordering::Relaxed);
         true
     }
 
-    /// Forgets the context of a job.
-    pub fn remove(&self, key: &JobKey) {
+    /// Removes the context of a job.
+    pub(crate) fn remove(&self, key: &JobKey) {
         if self.shard(key).remove(key).is_some() {
             self.len.fetch_sub(1, Ordering::Relaxed);
         }
     }
 
     /// The context of a job.
-    pub fn get(&self, key: &JobKey) -> Option<Arc<str>> {
+    pub(crate) fn get(&self, key: &JobKey) -> Option<Arc<str>> {
         if self.len.load(Ordering::Relaxed) == 0 {
             return None;
         }
@@ -58,12 +58,12 @@
             .map(|context| Arc::clone(&context.traceparent))
     }
 
-    /// Forgets contexts whose time is over.
-    pub fn sweep(&self, now_ms: u64) {
+    /// Removes expired contexts.
+    pub(crate) fn remove_expired(&self, now_ms: u64) {
         for shard in &self.shards {
             let mut shard = lock(shard);
             let before = shard.len();
-            shard.retain(|_, context| context.forget_ms > now_ms);
+            shard.retain(|_, context| context.expires_ms > now_ms);
             self.len.fetch_sub(before - shard.len(), Ordering::Relaxed);
         }
     }
--- a/src/runtime/waiters.rs
+++ b/src/runtime/waiters.rs
@@ -1,4 +1,4 @@
-//! Who waits for an answer.
+//! Requests that wait for an answer of the engine.
 
 use std::collections::HashMap;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -31,25 +31,25 @@
 }
 
 impl Waiters {
-    /// Gives a waiter its answer; one that went away gets none.
+    /// Sends a waiter its answer, unless it has stopped waiting.
     pub fn complete(&self, waiter: WaiterId, answer: JobAnswer) {
         if let Some(sender) = self.remove(waiter) {
-            // A receiver that is gone has stopped waiting.
+            // Fails if the receiver was dropped because its request ended.
             let _ = sender.send(answer);
         }
     }
 
-    /// Waiters without an answer.
+    /// Number of waiters without an answer.
     pub fn len(&self) -> usize {
         self.shards.iter().map(|shard| lock(shard).len()).sum()
     }
 
-    /// Whether nobody waits.
+    /// Whether there are no waiters.
     pub fn is_empty(&self) -> bool {
         self.len() == 0
     }
 
-    fn add(&self) -> (WaiterId, oneshot::Receiver<JobAnswer>) {
+    fn register(&self) -> (WaiterId, oneshot::Receiver<JobAnswer>) {
         let waiter = WaiterId(self.next.fetch_add(1, Ordering::Relaxed));
         let (sender, receiver) = oneshot::channel();
         self.shard(waiter).insert(waiter, sender);
@@ -69,7 +69,7 @@
     shard.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-/// A place among the waiters, given up on drop.
+/// Registration of a waiter, removed on drop.
 pub struct WaiterGuard {
     runtime: Arc<Runtime>,
     key: JobKey,
@@ -77,9 +77,9 @@
 }
 
 impl WaiterGuard {
-    /// Takes a place for the answer about `key`.
+    /// Registers a waiter for an answer about `key`.
     pub fn new(runtime: Arc<Runtime>, key: JobKey) -> (Self, oneshot::Receiver<JobAnswer>) {
-        let (waiter, receiver) = runtime.waiters.add();
+        let (waiter, receiver) = runtime.waiters.register();
         let guard = Self {
             runtime,
             key,
--- a/src/server/conditions.rs
+++ b/src/server/conditions.rs
@@ -9,7 +9,7 @@
 };
 
 use crate::runtime::Runtime;
-use crate::runtime::service_windows::{Recent, WINDOW_MS};
+use crate::runtime::service_windows::{WINDOW_MS, WindowStats};
 
 const PERCENT: u64 = 100;
 const SECOND_MS: u64 = 1_000;
@@ -82,8 +82,8 @@
 
     fn service_targets(&self, spec: &ServiceSpec, service: &str) -> Condition {
         let mono_ms = self.runtime.now().mono_ms;
-        let recent = self.runtime.service_windows().recent(mono_ms, service);
-        targets_condition(&spec.targets, recent)
+        let stats = self.runtime.service_windows().stats(mono_ms, service);
+        targets_condition(&spec.targets, stats)
     }
 }
 
@@ -142,7 +142,7 @@
 }
 
 /// Compares the recent responses of this instance with the declared targets.
-fn targets_condition(targets: &Targets, recent: Recent) -> Condition {
+fn targets_condition(targets: &Targets, stats: WindowStats) -> Condition {
     let has_time_target = targets.response_p99_ms > 0;
     let refused_max = u64::from(targets.refused_percent_max);
     if !has_time_target && refused_max >= PERCENT {
@@ -150,21 +150,21 @@
         return meets_targets(ConditionStatus::True, "NoTargets", message);
     }
     let window_s = WINDOW_MS / SECOND_MS;
-    if recent.jobs == 0 {
+    if stats.jobs == 0 {
         let message = format!("no job was answered here in the last {window_s} s");
         return meets_targets(ConditionStatus::Unknown, "NoJobs", message);
     }
     let message = format!(
         "of {} jobs here in the last {window_s} s, {} were refused (at most {refused_max} %); \
          p99 of {} response times {} ms (target {})",
-        recent.jobs,
-        recent.refused,
-        recent.timed,
-        recent.response_p99_ms,
+        stats.jobs,
+        stats.refused,
+        stats.timed,
+        stats.response_p99_ms,
         target_text(targets.response_p99_ms),
     );
-    let too_slow = has_time_target && recent.response_p99_ms > targets.response_p99_ms;
-    let too_many = recent.refused * PERCENT > refused_max * recent.jobs;
+    let too_slow = has_time_target && stats.response_p99_ms > targets.response_p99_ms;
+    let too_many = stats.refused * PERCENT > refused_max * stats.jobs;
     match (too_slow, too_many) {
         (false, false) => meets_targets(ConditionStatus::True, "Met", message),
         (true, false) => meets_targets(ConditionStatus::False, "TooSlow", message),
--- a/tests/testsuite/caller.rs
+++ b/tests/testsuite/caller.rs
@@ -348,7 +348,7 @@
         _ = instance.submit(&key, &body) => panic!("answered early"),
         () = instance.wait_for_worker_requests(1) => {}
     }
-    assert_eq!(instance.runtime.waiters_len(), 0);
+    assert_eq!(instance.runtime.waiter_count(), 0);
     let state = instance.fetch(&key, "").await;
     assert_eq!(state.body["state"], json!("running"));
     gate.add_permits(1);
@@ -373,7 +373,7 @@
     assert_eq!(accepted.status, StatusCode::ACCEPTED);
     let running = instance.fetch(&key, "?wait_ms=20").await;
     assert_eq!(running.body["state"], json!("running"));
-    assert_eq!(instance.runtime.waiters_len(), 0);
+    assert_eq!(instance.runtime.waiter_count(), 0);
     gate.add_permits(1);
     let done = instance.fetch(&key, "?wait_ms=5000").await;
     assert_eq!(done.body["results"], json!([1]));
--- a/tests/testsuite/conditions.rs
+++ b/tests/testsuite/conditions.rs
@@ -14,7 +14,7 @@
 };
 use trefoil_schema::settings::WorkerSettings;
 use trefoilbay::runtime::Runtime;
-use trefoilbay::runtime::service_windows::{Recent, ServiceWindows, WINDOW_MS};
+use trefoilbay::runtime::service_windows::{ServiceWindows, WINDOW_MS, WindowStats};
 use trefoilbay::server::conditions::Conditions;
 use trefoilbay::util::telemetry::Telemetry;
 use trefoilbay::workers::WorkerClient;
@@ -162,18 +162,18 @@
     };
     record(0, 900);
     record(WINDOW_MS / 2, 100);
-    let recent = windows.recent(WINDOW_MS - 1, "pay");
-    assert_eq!(recent.jobs, 2);
-    assert!(recent.response_p99_ms.abs_diff(900) <= 9, "{recent:?}");
-    let expected = Recent {
+    let stats = windows.stats(WINDOW_MS - 1, "pay");
+    assert_eq!(stats.jobs, 2);
+    assert!(stats.response_p99_ms.abs_diff(900) <= 9, "{stats:?}");
+    let expected = WindowStats {
         jobs: 1,
         timed: 1,
         response_p99_ms: 100,
         refused: 0,
     };
-    assert_eq!(windows.recent(WINDOW_MS, "pay"), expected);
-    windows.sweep(2 * WINDOW_MS);
-    assert_eq!(windows.recent(WINDOW_MS, "pay"), Recent::default());
+    assert_eq!(windows.stats(WINDOW_MS, "pay"), expected);
+    windows.remove_expired(2 * WINDOW_MS);
+    assert_eq!(windows.stats(WINDOW_MS, "pay"), WindowStats::default());
 }
 
 #[tokio::test]
