--- a/src/peers/lending.rs
+++ b/src/peers/lending.rs
@@ -22,7 +22,7 @@
         ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
         loop {
             ticks.tick().await;
-            for message in self.context.runtime.balance() {
+            for message in self.context.runtime.balance_slots() {
                 self.send_slots(message);
             }
         }
@@ -62,7 +62,7 @@
         let runtime = &self.context.runtime;
         let slots: Vec<_> = grant.slots.into_iter().map(decode).collect();
         match grant.lease_ms {
-            RETURNED => runtime.take_back_slots(&from.name, &grant.service, &slots),
+            RETURNED => runtime.reclaim_slots(&from.name, &grant.service, &slots),
             loan_ms => runtime.borrow_slots(&from.name, &grant.service, &slots, loan_ms),
         }
     }
--- a/src/peers/recall.rs
+++ b/src/peers/recall.rs
@@ -81,6 +81,8 @@
             None => owner_lost(),
         };
         let runtime = &self.context.runtime;
-        runtime.recall(key, fingerprint, absent).await
+        runtime
+            .answer_without_admission(key, fingerprint, absent)
+            .await
     }
 }
--- a/src/runtime.rs
+++ b/src/runtime.rs
@@ -200,7 +200,7 @@
 
     /// Answers for a key that may not start here: the remembered job, or
     /// `absent` if there is none.
-    pub async fn recall(
+    pub async fn answer_without_admission(
         self: &Arc<Self>,
         key: &JobKey,
         fingerprint: Option<u64>,
@@ -232,7 +232,7 @@
 
     /// Returns idle borrowed slots and requests loans for queued tasks; the
     /// messages are to be sent to peers.
-    pub fn balance(self: &Arc<Self>) -> Vec<SlotMessage> {
+    pub fn balance_slots(self: &Arc<Self>) -> Vec<SlotMessage> {
         let mut out = Vec::new();
         let messages = self.engine.balance_slots(self.now(), &mut out);
         self.execute_commands(&mut out);
@@ -255,7 +255,7 @@
     }
 
     /// Takes back slots returned by a peer.
-    pub fn take_back_slots(
+    pub fn reclaim_slots(
         self: &Arc<Self>,
         borrower: &str,
         service: &str,
