--- a/src/http/caller.rs
+++ b/src/http/caller.rs
@@ -66,11 +66,11 @@
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
 struct MintQuery {
-    #[serde(default = "default_count")]
+    #[serde(default = "one")]
     count: u32,
 }
 
-fn default_count() -> u32 {
+fn one() -> u32 {
     1
 }
 
--- a/src/http/caller/request.rs
+++ b/src/http/caller/request.rs
@@ -20,7 +20,6 @@
 use crate::http::problem::Problem;
 use crate::runtime::dispatch::fingerprint;
 
-/// Header with the idempotency key.
 pub(super) const KEY_HEADER: &str = "idempotency-key";
 const TRACEPARENT_HEADER: &str = "traceparent";
 const DEFAULT_TEAM: &str = "default";
--- a/src/runtime/service_windows.rs
+++ b/src/runtime/service_windows.rs
@@ -13,9 +13,8 @@
 const SHARDS: usize = 8;
 /// Number of buckets of the window; the oldest is dropped as a whole.
 const BUCKETS: usize = 6;
-/// Length of a bucket.
 const BUCKET_MS: u64 = 10_000;
-/// Length of the window.
+/// Length of the window, in milliseconds.
 pub const WINDOW_MS: u64 = BUCKETS as u64 * BUCKET_MS;
 /// Maximum response time recorded; longer ones count as this long.
 const RESPONSE_MAX_MS: u64 = 600_000;
--- a/src/server.rs
+++ b/src/server.rs
@@ -35,27 +35,17 @@
 
 /// Why an instance cannot run.
 #[derive(Debug, Display, Error)]
+#[expect(missing_docs, reason = "the messages explain the variants")]
 pub enum ServerError {
-    /// The HTTP address cannot be bound.
     #[display("cannot listen on {address}: {source}; hint: check http_address")]
     Listen {
-        /// The setting `http_address`.
         address: String,
-        /// The error of the system call.
         source: std::io::Error,
     },
-    /// Signal handlers cannot be installed.
     #[display("cannot install signal handlers: {source}")]
-    Signals {
-        /// The error of the system call.
-        source: std::io::Error,
-    },
-    /// The links between instances cannot be started.
+    Signals { source: std::io::Error },
     #[display("cannot start the links to peers: {source}")]
-    Peers {
-        /// The error of the links.
-        source: PeersError,
-    },
+    Peers { source: PeersError },
 }
 
 /// State shared by all components of an instance.
@@ -67,7 +57,7 @@
     pub log: Logger,
     /// Metrics and traces.
     pub telemetry: Telemetry,
-    /// The clock of every decision.
+    /// The clock shared by all components.
     pub clock: Clock,
     /// Counts work in flight and runs the drain.
     pub drain: Arc<DrainController>,
