--- a/src/http/caller/answer.rs
+++ b/src/http/caller/answer.rs
@@ -153,7 +153,7 @@
         .into_response()
 }
 
-/// HTTP status of a refusal.
+/// HTTP status of a refusal for `reason`.
 pub fn refusal_status(reason: RefusalReason) -> StatusCode {
     match reason {
         RefusalReason::Malformed => StatusCode::BAD_REQUEST,
--- a/src/http/caller/request.rs
+++ b/src/http/caller/request.rs
@@ -80,7 +80,6 @@
     parse_key(value.to_str().unwrap_or_default())
 }
 
-/// The idempotency key in the path.
 pub(super) fn path_key(request: &Request) -> Result<JobKey, RequestError> {
     let text = request
         .path_params::<String>()
@@ -179,7 +178,6 @@
 }
 
 impl JobSubmission {
-    /// Parses a request body.
     pub(super) fn parse(bytes: &Bytes) -> Result<Self, RequestError> {
         let mut reader = serde_json::Deserializer::from_slice(bytes);
         let body: JobBody<'_> =
--- a/src/http/operator/precondition.rs
+++ b/src/http/operator/precondition.rs
@@ -22,12 +22,12 @@
 impl Precondition {
     /// Parses the headers of a request.
     pub(super) fn from_headers(headers: &HeaderMap) -> Result<Self, PreconditionError> {
-        let matched = text(headers, header::IF_MATCH)?;
-        let none_matched = text(headers, header::IF_NONE_MATCH)?;
+        let matched = header_text(headers, header::IF_MATCH)?;
+        let none_matched = header_text(headers, header::IF_NONE_MATCH)?;
         match (matched, none_matched) {
             (None, None) => Ok(Self::None),
             (Some("*"), None) => Ok(Self::Declared),
-            (Some(tag), None) => revision(tag)
+            (Some(tag), None) => parse_etag(tag)
                 .map(Self::AtRevision)
                 .ok_or(PreconditionError("if-match must be \"REVISION\" or *")),
             (None, Some("*")) => Ok(Self::Absent),
@@ -49,7 +49,7 @@
     }
 }
 
-fn text(headers: &HeaderMap, name: HeaderName) -> Result<Option<&str>, PreconditionError> {
+fn header_text(headers: &HeaderMap, name: HeaderName) -> Result<Option<&str>, PreconditionError> {
     let Some(value) = headers.get(name) else {
         return Ok(None);
     };
@@ -59,6 +59,6 @@
         .map_err(|_| PreconditionError("a precondition has characters other than visible ASCII"))
 }
 
-fn revision(tag: &str) -> Option<u64> {
+fn parse_etag(tag: &str) -> Option<u64> {
     tag.strip_prefix('"')?.strip_suffix('"')?.parse().ok()
 }
--- a/src/http/operator/problems.rs
+++ b/src/http/operator/problems.rs
@@ -74,7 +74,6 @@
     problem(status, Reason::UnknownResource, detail, Verdict::NotRun)
 }
 
-/// The value in the store is not a resource.
 pub(super) fn unreadable_resource(key: &ResourceKey, revision: u64) -> Problem {
     let detail =
         format!("the stored value of {key} at revision {revision} is invalid; declare it again");
@@ -91,7 +90,6 @@
     problem(status, Reason::InvalidResource, detail, Verdict::NotRun).errors(errors)
 }
 
-/// The resource in the store does not satisfy the precondition.
 pub(super) fn precondition_failed(
     key: &ResourceKey,
     current: Option<&KeyValue>,
@@ -108,7 +106,7 @@
     service_unavailable(Reason::StoreUnreachable, detail, Verdict::NotRun)
 }
 
-/// The write was not acknowledged.
+/// Problem of a write that was rejected or not acknowledged.
 pub(super) fn write_failed(
     key: &ResourceKey,
     error: &WriteError,
--- a/src/http/operator/write.rs
+++ b/src/http/operator/write.rs
@@ -69,7 +69,7 @@
     let resource = parse_declaration(key, &declared)
         .map_err(|errors| problems::invalid_resource(key, errors))?;
     let before = read_current(context, key).await?;
-    if !condition.holds(revision(before.as_ref())) {
+    if !condition.holds(revision_of(before.as_ref())) {
         return Err(problems::precondition_failed(
             key,
             before.as_ref(),
@@ -77,7 +77,7 @@
         ));
     }
     if dry_run || is_unchanged(before.as_ref(), &declared) {
-        let revision = revision(before.as_ref());
+        let revision = revision_of(before.as_ref());
         return Ok(Declaration { resource, revision });
     }
     // `Value` sorts its fields, so equal declarations serialize to equal text.
@@ -96,7 +96,7 @@
 ) -> Result<(), Problem> {
     let condition = Precondition::from_headers(headers).map_err(problems::invalid_precondition)?;
     let before = read_current(context, key).await?;
-    if !condition.holds(revision(before.as_ref())) {
+    if !condition.holds(revision_of(before.as_ref())) {
         return Err(problems::precondition_failed(key, before.as_ref(), None));
     }
     if before.is_none() {
@@ -166,7 +166,7 @@
     })
 }
 
-fn revision(current: Option<&KeyValue>) -> u64 {
+fn revision_of(current: Option<&KeyValue>) -> u64 {
     current.map_or(0, |kv| kv.revision)
 }
 
--- a/src/http/problem.rs
+++ b/src/http/problem.rs
@@ -10,7 +10,7 @@
 
 /// The reason of a [`Problem`], attached to its response for the metrics.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub(crate) struct Reason(pub(crate) String);
+pub(crate) struct ProblemReason(pub(crate) String);
 
 /// Problem details of an error response.
 #[derive(Clone, Debug)]
@@ -85,7 +85,7 @@
             .headers_mut()
             .insert(header::CONTENT_TYPE, CONTENT_TYPE);
         let reason = self.body.type_.strip_prefix(TYPE_PREFIX);
-        response.set_data(Reason(reason.unwrap_or_default().to_owned()));
+        response.set_data(ProblemReason(reason.unwrap_or_default().to_owned()));
         if self.body.retry_after_ms > 0 {
             let seconds = self.body.retry_after_ms.div_ceil(1000);
             response
--- a/src/runtime/trace_contexts.rs
+++ b/src/runtime/trace_contexts.rs
@@ -40,14 +40,12 @@
         true
     }
 
-    /// Removes the context of a job.
     pub(crate) fn remove(&self, key: &JobKey) {
         if self.shard(key).remove(key).is_some() {
             self.len.fetch_sub(1, Ordering::Relaxed);
         }
     }
 
-    /// The context of a job.
     pub(crate) fn get(&self, key: &JobKey) -> Option<Arc<str>> {
         if self.len.load(Ordering::Relaxed) == 0 {
             return None;
@@ -58,7 +56,6 @@
             .map(|context| Arc::clone(&context.traceparent))
     }
 
-    /// Removes expired contexts.
     pub(crate) fn remove_expired(&self, now_ms: u64) {
         for shard in &self.shards {
             let mut shard = lock(shard);
--- a/src/server/observe.rs
+++ b/src/server/observe.rs
@@ -8,7 +8,7 @@
 use trefoil_core::engine::{FailureReason, JobState};
 
 use super::Context;
-use crate::http::problem::Reason;
+use crate::http::problem::ProblemReason;
 use crate::peers::convert::FAILURE_UNKNOWN;
 use crate::util::telemetry::counters::Counters;
 use crate::util::telemetry::trace::{Hop, HopSpan, TRACEPARENT, TraceParent};
@@ -30,8 +30,8 @@
     let start = Instant::now();
     let counters = context.telemetry.counters();
     counters.job_submitted();
-    let mut span = context.telemetry.span(Hop::Caller, parent(&request));
-    pass_on(&span, &mut request);
+    let mut span = context.telemetry.span(Hop::Caller, parent_span(&request));
+    propagate_span(&span, &mut request);
     let response = next.get_response(request).await;
     span.set("http.status", i64::from(response.status().as_u16()));
     if response.status().is_server_error() {
@@ -41,11 +41,11 @@
     Ok(response)
 }
 
-fn parent(request: &Request) -> Option<TraceParent> {
+fn parent_span(request: &Request) -> Option<TraceParent> {
     request.header(TRACEPARENT).and_then(TraceParent::parse)
 }
 
-fn pass_on(span: &HopSpan, request: &mut Request) {
+fn propagate_span(span: &HopSpan, request: &mut Request) {
     let parent = span.next_parent().filter(|_| span.is_taken());
     let header = parent.map(|parent| HeaderValue::try_from(parent.to_string()));
     if let Some(Ok(header)) = header {
@@ -54,7 +54,7 @@
 }
 
 fn count_answer(counters: &Counters, response: &Response, start: Instant) {
-    let reason = response.data::<Reason>();
+    let reason = response.data::<ProblemReason>();
     match final_state(response.status(), reason) {
         Some(JobState::Running) => {}
         Some(state) => {
@@ -66,7 +66,7 @@
 }
 
 /// State of the job that a response reports; `None` for a refusal.
-fn final_state(status: StatusCode, reason: Option<&Reason>) -> Option<JobState> {
+fn final_state(status: StatusCode, reason: Option<&ProblemReason>) -> Option<JobState> {
     if status == StatusCode::ACCEPTED {
         return Some(JobState::Running);
     }
--- a/src/workers/outcome.rs
+++ b/src/workers/outcome.rs
@@ -21,7 +21,6 @@
     /// At least part of the request was sent, but no complete response arrived.
     #[display("response lost: {_0}")]
     ResponseLost(#[error(not(source))] String),
-    /// The response names another task.
     #[display("the response names another task: {_0}")]
     TaskMismatch(#[error(not(source))] String),
 }
@@ -44,10 +43,8 @@
     /// Neither a length nor chunks, so truncation cannot be detected.
     #[display("the body has neither a content-length nor chunked encoding")]
     Unframed,
-    /// The connection closed before its end.
     #[display("the body is truncated: {_0}")]
     Truncated(#[error(not(source))] String),
-    /// It exceeds the size limit, in bytes.
     #[display("the body is larger than {_0} bytes")]
     Oversized(#[error(not(source))] usize),
 }
--- a/src/workers/pool.rs
+++ b/src/workers/pool.rs
@@ -54,7 +54,6 @@
         }
     }
 
-    /// Value of the `Host` header.
     pub(crate) fn host(&self) -> &HeaderValue {
         &self.host
     }
@@ -150,7 +149,6 @@
         self.is_new
     }
 
-    /// The underlying connection.
     pub(crate) fn connection(&mut self) -> &mut Connection {
         &mut self.connection
     }
