--- a/src/runtime/dispatch.rs
+++ b/src/runtime/dispatch.rs
@@ -82,7 +82,7 @@
         let Some(peers) = &self.peers else {
             return true;
         };
-        matches!(peers.route(key), Route::Here | Route::Peer(_))
+        matches!(peers.route(key), Route::Local | Route::Peer(_))
     }
 
     /// The configuration in force at this instance.
--- a/src/server.rs
+++ b/src/server.rs
@@ -21,7 +21,7 @@
 use slog::{Logger, info, warn};
 use tokio::signal::unix::{Signal, SignalKind, signal};
 use tokio::sync::oneshot;
-use trefoil_core::drain::{DrainState, Ending};
+use trefoil_core::drain::{DrainOutcome, DrainState};
 use trefoil_schema::settings::Settings;
 
 use crate::peers::PeersError;
@@ -107,19 +107,19 @@
     settings: Settings,
     log: Logger,
     telemetry: Telemetry,
-) -> Result<Ending, ServerError> {
+) -> Result<DrainOutcome, ServerError> {
     let context = Arc::new(Context::new(settings, log, telemetry));
     let acceptor = listen(&context.settings.http_address).await?;
     install_signal_handlers(&context)?;
     let components = Components::start(&context)?;
     info!(context.log, "serving"; "http_address" => &context.settings.http_address);
-    let ending = serve(&context, &components, acceptor).await;
-    info!(context.log, "stopped"; "ending" => %ending);
-    if ending == Ending::Drained {
+    let outcome = serve(&context, &components, acceptor).await;
+    info!(context.log, "stopped"; "ending" => %outcome);
+    if outcome == DrainOutcome::Drained {
         let limit = context.drain.budget_left();
         context.telemetry.stop(limit).await;
     }
-    Ok(ending)
+    Ok(outcome)
 }
 
 async fn listen(address: &str) -> Result<TcpAcceptor, ServerError> {
@@ -131,7 +131,11 @@
 }
 
 /// Serves until the drain has finished, then closes connections.
-async fn serve(context: &Arc<Context>, components: &Components, acceptor: TcpAcceptor) -> Ending {
+async fn serve(
+    context: &Arc<Context>,
+    components: &Components,
+    acceptor: TcpAcceptor,
+) -> DrainOutcome {
     let (close, closing) = oneshot::channel::<()>();
     let closed = async move { drop(closing.await) };
     let server = poem::Server::new_with_acceptor(acceptor).run_with_graceful_shutdown(
@@ -140,13 +144,13 @@
         Some(CONNECTION_CLOSE_TIMEOUT),
     );
     let server = tokio::spawn(server);
-    let ending = context.drain.run_until_finished(&context.log).await;
-    if ending == Ending::Drained {
+    let outcome = context.drain.run_until_finished(&context.log).await;
+    if outcome == DrainOutcome::Drained {
         drop(close);
         let limit = CONNECTION_CLOSE_TIMEOUT.min(context.drain.budget_left());
         wait_for_close(server, limit, &context.log).await;
     }
-    ending
+    outcome
 }
 
 async fn wait_for_close<T>(server: tokio::task::JoinHandle<T>, limit: Duration, log: &Logger) {
--- a/src/server/drain.rs
+++ b/src/server/drain.rs
@@ -6,7 +6,7 @@
 
 use slog::{Logger, info};
 use tokio::sync::Notify;
-use trefoil_core::drain::{Drain, DrainState, Ending};
+use trefoil_core::drain::{Drain, DrainOutcome, DrainState};
 use trefoil_core::time::Now;
 use trefoil_schema::settings::DrainSettings;
 
@@ -114,7 +114,7 @@
     }
 
     /// Advances the drain until it is finished; logs each change of phase.
-    pub async fn run_until_finished(&self, log: &Logger) -> Ending {
+    pub async fn run_until_finished(&self, log: &Logger) -> DrainOutcome {
         let mut logged = DrainState::Serving;
         loop {
             let state = self.step();
@@ -122,8 +122,8 @@
                 info!(log, "drain phase changed"; "phase" => %state, "in_flight" => self.in_flight());
                 logged = state;
             }
-            if let DrainState::Finished(ending) = state {
-                return ending;
+            if let DrainState::Finished(outcome) = state {
+                return outcome;
             }
             self.next_change().await;
         }
@@ -148,7 +148,8 @@
         let mut drain = self.drain();
         let before = drain.state();
         let after = drain.step(now, self.pending_work());
-        self.accepts_work.store(drain.accepts(), Ordering::SeqCst);
+        self.accepts_work
+            .store(drain.accepts_work(), Ordering::SeqCst);
         if before == after {
             return after;
         }
--- a/tests/testsuite/conditions.rs
+++ b/tests/testsuite/conditions.rs
@@ -20,7 +20,7 @@
 use trefoilbay::workers::WorkerClient;
 
 use crate::metrics::Worker;
-use crate::support::pair::Pair;
+use crate::support::pair::InstancePair;
 
 const DOMAIN: &str = "local";
 const TARGET_MS: u64 = 400;
@@ -201,14 +201,16 @@
 async fn conditions_appear_in_the_operators_api() {
     let worker = Worker::start().await;
     let telemetry = |settings: &_| Telemetry::start(settings).unwrap();
-    let pair = Pair::start(worker.address, telemetry).await;
+    let pair = InstancePair::start(worker.address, telemetry).await;
     for (path, condition_type) in [
         ("/v1/backend-servers/worker-1", "Healthy"),
         ("/v1/services/pay", "HasWorkers"),
         ("/v1/services/pay", "MeetsTargets"),
     ] {
         let has_condition = |text: &str| text.contains(condition_type);
-        let text = pair.until(pair.entries[0], path, has_condition).await;
+        let text = pair
+            .wait_for_response(pair.entries[0], path, has_condition)
+            .await;
         let found: StoredResource = serde_json::from_str(&text).unwrap();
         let mut conditions = found.status.conditions.iter();
         let condition = conditions
@@ -217,7 +219,7 @@
         // The pair's own probes count; a refused probe violates the target.
         let target_missed =
             condition_type == "MeetsTargets" && condition.reason == "TooManyRefused";
-        let expected = match target_missed && pair.probes_refused > 0 {
+        let expected = match target_missed && pair.setup_jobs_refused > 0 {
             true => ConditionStatus::False,
             false => ConditionStatus::True,
         };
--- a/tests/testsuite/daemon.rs
+++ b/tests/testsuite/daemon.rs
@@ -12,7 +12,7 @@
 use hyper_util::rt::TokioExecutor;
 use slog::{Discard, Logger, o};
 use tokio::time::{Instant, sleep, timeout};
-use trefoil_core::drain::Ending;
+use trefoil_core::drain::DrainOutcome;
 use trefoil_fakes::platform::{self, PlatformOptions};
 use trefoil_schema::settings::DrainSettings;
 use trefoilbay::server::drain::DrainController;
@@ -202,7 +202,7 @@
     sleep(Duration::from_millis(50)).await;
     assert!(!drain.is_finished());
     drop(late);
-    assert_eq!(drain.await.unwrap(), Ending::Drained);
+    assert_eq!(drain.await.unwrap(), DrainOutcome::Drained);
     assert_eq!(start.elapsed(), Duration::from_millis(300));
 }
 
@@ -214,7 +214,7 @@
     let _unfinished = controller.try_accept().unwrap();
     assert_eq!(
         controller.run_until_finished(&discard_logger()).await,
-        Ending::BudgetSpent
+        DrainOutcome::BudgetSpent
     );
     assert_eq!(start.elapsed(), Duration::from_millis(1_000));
     assert_eq!(controller.budget_left(), Duration::ZERO);
@@ -231,7 +231,7 @@
     sleep(Duration::from_millis(700)).await;
     assert!(!drain.is_finished());
     drop(hold);
-    assert_eq!(drain.await.unwrap(), Ending::Drained);
+    assert_eq!(drain.await.unwrap(), DrainOutcome::Drained);
 }
 
 #[tokio::test]
