--- a/examples/caller_overhead.rs
+++ b/examples/caller_overhead.rs
@@ -26,8 +26,8 @@
 use trefoil_schema::resources::{BackendServerSpec, BackendServerState, ServiceSpec, TeamSpec};
 use trefoil_schema::settings::{JobSettings, WorkerSettings};
 use trefoilbay::http::caller::{self, CallerContext};
-use trefoilbay::runtime::dispatch::{Dispatch, fingerprint};
-use trefoilbay::runtime::{Arrival, Runtime};
+use trefoilbay::runtime::dispatch::{Dispatcher, fingerprint};
+use trefoilbay::runtime::{RequestContext, Runtime};
 use trefoilbay::util::clock::Clock;
 use trefoilbay::workers::{WorkerCall, WorkerClient};
 
@@ -218,7 +218,7 @@
 
 async fn submit(runtime: &Arc<Runtime>, tasks: usize) {
     let answer = runtime
-        .submit(submission(tasks), true, Arrival::default())
+        .submit(submission(tasks), true, RequestContext::default())
         .await;
     let complete =
         matches!(&answer, JobAnswer::Known { state, .. } if *state == JobState::Complete);
@@ -228,7 +228,7 @@
 /// Serves callers; returns the address.
 async fn serve(runtime: &Arc<Runtime>) -> String {
     let context = CallerContext {
-        dispatch: Dispatch::new(Arc::clone(runtime)),
+        dispatch: Dispatcher::new(Arc::clone(runtime)),
         jobs: Arc::new(JobSettings::default()),
         failure_domain: DOMAIN.into(),
     };
--- a/src/http/operator/write.rs
+++ b/src/http/operator/write.rs
@@ -12,13 +12,13 @@
 use trefoil_schema::resources::Resource;
 
 use super::precondition::Precondition;
-use super::render::{Renderer, Source, Stored, tagged};
-use super::{Collection, OperatorContext, refuse};
+use super::render::{Declaration, Renderer, Source, json_with_etag};
+use super::{Collection, OperatorContext, problems};
 use crate::http::problem::Problem;
 use crate::sources::config::write::{WriteError, replace};
 use crate::sources::platform::KeyValue;
 
-/// Largest body of a declaration, in bytes.
+/// Maximum size of a declaration's body, in bytes.
 const DECLARATION_BYTES_MAX: usize = 64 << 10;
 
 #[derive(Deserialize)]
@@ -38,7 +38,7 @@
     let key = collection.key(&name);
     let context = &collection.context;
     match put(context, &key, query.dry_run, headers, body).await {
-        Ok(stored) => tagged(&Renderer::new(context).render(stored, Source::Store)),
+        Ok(found) => json_with_etag(&Renderer::new(context).render(found, Source::Store)),
         Err(problem) => problem.into_response(),
     }
 }
@@ -63,24 +63,29 @@
     dry_run: bool,
     headers: &HeaderMap,
     body: Body,
-) -> Result<Stored, Problem> {
-    let condition = Precondition::from_headers(headers).map_err(refuse::headers)?;
+) -> Result<Declaration, Problem> {
+    let condition = Precondition::from_headers(headers).map_err(problems::invalid_precondition)?;
     let declared = read_body(body).await?;
-    let resource = checked(key, &declared).map_err(|errors| refuse::invalid(key, errors))?;
-    let before = current(context, key).await?;
-    if !condition.holds(revision(before.as_ref())) {
-        return Err(refuse::precondition(key, before.as_ref(), Some(&declared)));
+    let resource = parse_declaration(key, &declared)
+        .map_err(|errors| problems::invalid_resource(key, errors))?;
+    let before = read_current(context, key).await?;
+    if !condition.holds(revision_of(before.as_ref())) {
+        return Err(problems::precondition_failed(
+            key,
+            before.as_ref(),
+            Some(&declared),
+        ));
     }
-    if dry_run || is_declared(before.as_ref(), &declared) {
-        let revision = revision(before.as_ref());
-        return Ok(Stored { resource, revision });
+    if dry_run || is_unchanged(before.as_ref(), &declared) {
+        let revision = revision_of(before.as_ref());
+        return Ok(Declaration { resource, revision });
     }
-    // `Value` keeps its fields in order, so equal declarations are equal text.
+    // `Value` sorts its fields, so equal declarations serialize to equal text.
     let value = Bytes::from(declared.to_string());
-    let revision = store(context, key, before.as_ref(), Some(value))
+    let revision = write_value(context, key, before.as_ref(), Some(value))
         .await
-        .map_err(|error| refuse::unwritten(key, &error, Some(&declared)))?;
-    Ok(Stored { resource, revision })
+        .map_err(|error| problems::write_failed(key, &error, Some(&declared)))?;
+    Ok(Declaration { resource, revision })
 }
 
 async fn delete(
@@ -89,24 +94,24 @@
     dry_run: bool,
     headers: &HeaderMap,
 ) -> Result<(), Problem> {
-    let condition = Precondition::from_headers(headers).map_err(refuse::headers)?;
-    let before = current(context, key).await?;
-    if !condition.holds(revision(before.as_ref())) {
-        return Err(refuse::precondition(key, before.as_ref(), None));
+    let condition = Precondition::from_headers(headers).map_err(problems::invalid_precondition)?;
+    let before = read_current(context, key).await?;
+    if !condition.holds(revision_of(before.as_ref())) {
+        return Err(problems::precondition_failed(key, before.as_ref(), None));
     }
     if before.is_none() {
-        return Err(refuse::unknown(key));
+        return Err(problems::not_declared(key));
     }
     if dry_run {
         return Ok(());
     }
-    store(context, key, before.as_ref(), None)
+    write_value(context, key, before.as_ref(), None)
         .await
         .map(|_| ())
-        .map_err(|error| refuse::unwritten(key, &error, None))
+        .map_err(|error| problems::write_failed(key, &error, None))
 }
 
-async fn store(
+async fn write_value(
     context: &OperatorContext,
     key: &ResourceKey,
     before: Option<&KeyValue>,
@@ -123,25 +128,25 @@
     .await
 }
 
-async fn current(
+async fn read_current(
     context: &OperatorContext,
     key: &ResourceKey,
 ) -> Result<Option<KeyValue>, Problem> {
     let store_key = context.config.store_key(key);
     let found = context.store.get(&store_key).await;
-    found.map_err(|error| refuse::unreadable(&error))
+    found.map_err(|error| problems::store_unreachable(&error))
 }
 
 async fn read_body(body: Body) -> Result<Value, Problem> {
     let bytes = body
         .into_bytes_limit(DECLARATION_BYTES_MAX)
         .await
-        .map_err(|_| refuse::too_large(DECLARATION_BYTES_MAX))?;
+        .map_err(|_| problems::too_large(DECLARATION_BYTES_MAX))?;
     serde_json::from_slice(&bytes)
-        .map_err(|error| refuse::malformed(format!("the body is not JSON: {error}")))
+        .map_err(|error| problems::malformed(format!("the body is not JSON: {error}")))
 }
 
-fn checked(key: &ResourceKey, declared: &Value) -> Result<Resource, Vec<FieldError>> {
+fn parse_declaration(key: &ResourceKey, declared: &Value) -> Result<Resource, Vec<FieldError>> {
     let resource = validate(declared)?;
     let kind = key.kind.to_string();
     let kind_error = mismatch("kind", &resource.kind.to_string(), &kind);
@@ -153,19 +158,19 @@
     }
 }
 
-fn mismatch(path: &str, found: &str, in_url: &str) -> Option<FieldError> {
-    (found != in_url).then(|| FieldError {
+fn mismatch(path: &str, found: &str, expected: &str) -> Option<FieldError> {
+    (found != expected).then(|| FieldError {
         path: path.to_owned(),
         found: found.to_owned(),
-        allowed: format!("{in_url}, as in the request's path"),
+        allowed: format!("{expected}, as in the path of the request"),
     })
 }
 
-fn revision(current: Option<&KeyValue>) -> u64 {
+fn revision_of(current: Option<&KeyValue>) -> u64 {
     current.map_or(0, |kv| kv.revision)
 }
 
-fn is_declared(current: Option<&KeyValue>, declared: &Value) -> bool {
+fn is_unchanged(current: Option<&KeyValue>, declared: &Value) -> bool {
     current.is_some_and(|kv| {
         serde_json::from_slice::<Value>(&kv.value).is_ok_and(|found| found == *declared)
     })
