--- a/src/http/caller.rs
+++ b/src/http/caller.rs
@@ -27,7 +27,7 @@
 
 use crate::runtime::Arrival;
 use crate::runtime::dispatch::Dispatch;
-use crate::util::telemetry::trace::{Hop, note_answer};
+use crate::util::telemetry::trace::{Hop, record_answer};
 use answer::Asked;
 use request::{CheckedJob, FormError, JobSubmission};
 
@@ -124,16 +124,16 @@
 ) -> JobAnswer {
     let given = request::traceparent(headers);
     let mut span = dispatch.span(Hop::Entry, given.as_deref());
-    if span.is_taken() {
-        span.set("service", job.submission.service.to_string());
-        span.set("tasks", job.submission.tasks.len() as i64);
+    if span.is_recording() {
+        span.set_attribute("service", job.submission.service.to_string());
+        span.set_attribute("tasks", job.submission.tasks.len() as i64);
     }
     let arrival = Arrival {
-        traceparent: span.header(given),
+        traceparent: span.outgoing_traceparent(given),
         whole_at: Some(whole_at),
     };
     let answer = dispatch.submit(job.submission, job.wait, arrival).await;
-    note_answer(&mut span, &answer);
+    record_answer(&mut span, &answer);
     answer
 }
 
--- a/src/links/queue.rs
+++ b/src/links/queue.rs
@@ -7,7 +7,7 @@
 use trefoil_schema::peer::{Message, message::Body};
 
 use super::settings::LinkSettings;
-use crate::util::clock::whole_ms;
+use crate::util::clock::duration_ms;
 
 struct Waiting {
     since: Instant,
@@ -89,7 +89,7 @@
 
 /// Takes the time waited off the time that a message says is left.
 fn spend(message: &mut Message, waited: Duration) {
-    let waited_ms = whole_ms(waited);
+    let waited_ms = duration_ms(waited);
     match &mut message.body {
         Some(Body::ForwardJob(job)) => {
             job.timeout_ms = job.timeout_ms.saturating_sub(waited_ms);
--- a/src/peers/forward.rs
+++ b/src/peers/forward.rs
@@ -17,8 +17,8 @@
 use super::{Peers, convert};
 use crate::links::LinkError;
 use crate::runtime::Arrival;
-use crate::util::clock::whole_ms;
-use crate::util::telemetry::trace::{Hop, note_answer};
+use crate::util::clock::duration_ms;
+use crate::util::telemetry::trace::{Hop, record_answer};
 
 /// Period of checks whether the owner is still there.
 const CHECK_PERIOD: Duration = Duration::from_millis(250);
@@ -67,10 +67,10 @@
             .context
             .runtime
             .span(Hop::Peer, arrival.traceparent.as_deref());
-        if span.is_taken() {
-            span.set("peer", owner.name.clone());
+        if span.is_recording() {
+            span.set_attribute("peer", owner.name.clone());
         }
-        let traceparent = span.header(arrival.traceparent);
+        let traceparent = span.outgoing_traceparent(arrival.traceparent);
         let traceparent = traceparent.as_deref().unwrap_or_default();
         let limit_ms = submission.timeout_ms + ANSWER_GRACE_MS;
         let ask = Ask::Submit {
@@ -79,7 +79,7 @@
             traceparent,
         };
         let answer = self.ask(&owner, &submission.key, &ask, limit_ms).await;
-        note_answer(&mut span, &answer);
+        record_answer(&mut span, &answer);
         answer
     }
 
@@ -182,7 +182,7 @@
                 traceparent,
             } => {
                 let mut job = convert::forward_job(request_id, submission, *wait, traceparent);
-                let elapsed_ms = whole_ms(started.elapsed());
+                let elapsed_ms = duration_ms(started.elapsed());
                 job.timeout_ms = job.timeout_ms.saturating_sub(elapsed_ms);
                 Body::ForwardJob(job)
             }
--- a/src/peers/serve.rs
+++ b/src/peers/serve.rs
@@ -14,7 +14,7 @@
 use super::{Peers, convert, forward};
 use crate::links::Incoming;
 use crate::runtime::Arrival;
-use crate::util::telemetry::trace::{Hop, note_answer};
+use crate::util::telemetry::trace::{Hop, record_answer};
 
 /// When an entry should ask again that came to the wrong owner.
 const WRONG_OWNER_RETRY_MS: u64 = 250;
@@ -102,16 +102,16 @@
         let whole_at = Some(Instant::now());
         let header = job.traceparent.as_str();
         let given = (!header.is_empty()).then(|| Arc::<str>::from(header));
-        let mut span = self.context.runtime.span(Hop::PeerServed, given.as_deref());
-        if span.is_taken() {
-            span.set("peer", from.name.clone());
+        let mut span = self.context.runtime.span(Hop::PeerServer, given.as_deref());
+        if span.is_recording() {
+            span.set_attribute("peer", from.name.clone());
         }
         let arrival = Arrival {
-            traceparent: span.header(given),
+            traceparent: span.outgoing_traceparent(given),
             whole_at,
         };
         let answer = self.admit_job(job, arrival).await;
-        note_answer(&mut span, &answer);
+        record_answer(&mut span, &answer);
         answer
     }
 
--- a/src/runtime.rs
+++ b/src/runtime.rs
@@ -126,7 +126,7 @@
     /// A span for one hop of a request; none without telemetry.
     pub fn span(&self, hop: Hop, header: Option<&str>) -> HopSpan {
         match &self.telemetry {
-            Some(telemetry) => telemetry.span_below(hop, header),
+            Some(telemetry) => telemetry.span_from_header(hop, header),
             None => HopSpan::default(),
         }
     }
@@ -165,7 +165,7 @@
     fn time_admission(&self, whole_at: Option<Instant>) {
         if let (Some(telemetry), Some(whole_at)) = (&self.telemetry, whole_at) {
             let overhead_us = whole_at.elapsed().as_secs_f64() * 1e6;
-            telemetry.counters().admitted(overhead_us);
+            telemetry.metrics().record_admission_overhead(overhead_us);
         }
     }
 
--- a/src/runtime/service_windows.rs
+++ b/src/runtime/service_windows.rs
@@ -5,7 +5,7 @@
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
 
-use crate::util::clock::whole_ms;
+use crate::util::clock::duration_ms;
 use hdrhistogram::Histogram;
 use trefoil_core::engine::{FailureReason, JobAnswer, JobState, RefusalReason};
 use xxhash_rust::xxh3::xxh3_64;
@@ -75,7 +75,7 @@
         slice.jobs += 1;
         match seen {
             Seen::Timed => {
-                let response_ms = whole_ms(elapsed);
+                let response_ms = duration_ms(elapsed);
                 slice.responses.saturating_record(response_ms);
             }
             Seen::Refused => slice.refused += 1,
--- a/src/runtime/tasks.rs
+++ b/src/runtime/tasks.rs
@@ -5,7 +5,7 @@
 use trefoil_core::engine::{Command, TaskId, TaskOutcome};
 
 use super::Runtime;
-use crate::util::telemetry::counters::Outcome;
+use crate::util::telemetry::metrics::Outcome;
 use crate::util::telemetry::trace::{Hop, TraceParent};
 use crate::workers::WorkerCall;
 
@@ -38,17 +38,17 @@
     };
     let parent = call.traceparent.as_deref().and_then(TraceParent::parse);
     let mut span = telemetry.span(Hop::BackendServer, parent);
-    if span.is_taken() {
-        span.set("address", call.address.to_string());
-        span.set("index", i64::from(call.index));
-        span.set("attempt", i64::from(call.attempt));
-        call.traceparent = span.next_parent().map(|next| next.to_string().into());
+    if span.is_recording() {
+        span.set_attribute("address", call.address.to_string());
+        span.set_attribute("index", i64::from(call.index));
+        span.set_attribute("attempt", i64::from(call.attempt));
+        call.traceparent = span.trace_parent().map(|next| next.to_string().into());
     }
     let outcome = runtime.workers.call(&call).await;
     let ended = Outcome::from(&outcome);
-    telemetry.counters().task_ended(ended);
+    telemetry.metrics().record_task_outcome(ended);
     if ended != Outcome::Done {
-        span.fail(ended.name());
+        span.set_error(ended.name());
     }
     outcome
 }
--- a/src/server.rs
+++ b/src/server.rs
@@ -127,7 +127,7 @@
     info!(context.log, "stopped"; "ending" => %ending);
     if ending == Ending::Drained {
         let limit = context.stop.budget_left();
-        context.telemetry.stop(limit).await;
+        context.telemetry.shutdown(limit).await;
     }
     Ok(ending)
 }
--- a/src/server/health.rs
+++ b/src/server/health.rs
@@ -89,7 +89,7 @@
 
 #[handler]
 fn metrics(context: Data<&Arc<Context>>) -> Response {
-    match context.telemetry.page() {
+    match context.telemetry.metrics_page() {
         Ok(text) => Response::builder().content_type(METRICS_TEXT).body(text),
         Err(error) => Response::builder()
             .status(StatusCode::INTERNAL_SERVER_ERROR)
--- a/src/server/observe.rs
+++ b/src/server/observe.rs
@@ -10,7 +10,7 @@
 use super::Context;
 use crate::http::problem::Reason;
 use crate::peers::convert::FAILURE_UNKNOWN;
-use crate::util::telemetry::counters::Counters;
+use crate::util::telemetry::metrics::Metrics;
 use crate::util::telemetry::trace::{Hop, HopSpan, TRACEPARENT, TraceParent};
 
 const SUBMISSION_PATH: &str = "/v1/jobs";
@@ -28,16 +28,16 @@
         return Ok(next.get_response(request).await);
     };
     let start = Instant::now();
-    let counters = context.telemetry.counters();
-    counters.job_submitted();
+    let metrics = context.telemetry.metrics();
+    metrics.record_submission();
     let mut span = context.telemetry.span(Hop::Caller, parent(&request));
     pass_on(&span, &mut request);
     let response = next.get_response(request).await;
-    span.set("http.status", i64::from(response.status().as_u16()));
+    span.set_attribute("http.status", i64::from(response.status().as_u16()));
     if response.status().is_server_error() {
-        span.fail("answered with an error");
+        span.set_error("answered with an error");
     }
-    count_answer(counters, &response, start);
+    count_answer(metrics, &response, start);
     Ok(response)
 }
 
@@ -46,22 +46,22 @@
 }
 
 fn pass_on(span: &HopSpan, request: &mut Request) {
-    let parent = span.next_parent().filter(|_| span.is_taken());
+    let parent = span.trace_parent().filter(|_| span.is_recording());
     let header = parent.map(|parent| HeaderValue::try_from(parent.to_string()));
     if let Some(Ok(header)) = header {
         request.headers_mut().insert(TRACEPARENT, header);
     }
 }
 
-fn count_answer(counters: &Counters, response: &Response, start: Instant) {
+fn count_answer(metrics: &Metrics, response: &Response, start: Instant) {
     let reason = response.data::<Reason>();
     match final_state(response.status(), reason) {
         Some(JobState::Running) => {}
         Some(state) => {
             let response_ms = start.elapsed().as_secs_f64() * 1_000.0;
-            counters.answered(state, response_ms);
+            metrics.record_response_time(state, response_ms);
         }
-        None => counters.refused(reason.map_or("other", |reason| &reason.0)),
+        None => metrics.record_refusal(reason.map_or("other", |reason| &reason.0)),
     }
 }
 
--- a/src/server/parts.rs
+++ b/src/server/parts.rs
@@ -165,7 +165,7 @@
         if snapshot.revision > 0 {
             context
                 .telemetry
-                .counters()
+                .metrics()
                 .set_config_revision(snapshot.revision);
             parts.runtime.set_config(snapshot);
             context.set_configured();
@@ -195,7 +195,7 @@
             has_left = true;
         }
         let stats = parts.runtime.engine().stats();
-        report.send(&parts, &stats, context.telemetry.counters());
+        report.send(&parts, &stats, context.telemetry.metrics());
         match state {
             DrainState::Serving | DrainState::Announcing { .. } => {}
             // Released one period later, when no admission is under way.
--- a/src/server/report.rs
+++ b/src/server/report.rs
@@ -8,7 +8,7 @@
 use super::parts::Parts;
 use crate::peers::Peers;
 use crate::sources::platform::etcd::CallKind;
-use crate::util::telemetry::counters::{Counters, Levels, StoreCall, WastedMessage};
+use crate::util::telemetry::metrics::{Gauges, Metrics, StoreCall, WastedMessage};
 use crate::util::telemetry::totals::{Total, Totals};
 
 /// Periods between looks at the other instances, whose list is copied.
@@ -32,13 +32,13 @@
 
 impl Report {
     /// Reports what changed; called once a period.
-    pub(super) fn send(&mut self, parts: &Parts, stats: &EngineStats, counters: &Counters) {
+    pub(super) fn send(&mut self, parts: &Parts, stats: &EngineStats, metrics: &Metrics) {
         let totals = totals(parts, stats);
-        counters.advance(&self.totals, &totals);
+        metrics.record_totals(&self.totals, &totals);
         self.totals = totals;
-        counters.set_levels(&levels(&parts.peers, stats));
+        metrics.set_gauges(&gauges(&parts.peers, stats));
         if self.periods.is_multiple_of(PERIODS_PER_LOOK) {
-            count_instances(&parts.peers, counters);
+            count_instances(&parts.peers, metrics);
         }
         self.periods += 1;
     }
@@ -46,8 +46,8 @@
 
 fn totals(parts: &Parts, stats: &EngineStats) -> Totals {
     let mut totals = Totals::default();
-    totals.push_engine(stats);
-    totals.push_links(&parts.peers.links().stats());
+    totals.push_engine_stats(stats);
+    totals.push_link_stats(&parts.peers.links().stats());
     push_store(&mut totals, parts);
     let workers = parts.runtime.workers().counters();
     let peers = parts.peers.counters();
@@ -82,8 +82,8 @@
     totals.push(Total::StoreFailures, calls.failed());
 }
 
-fn levels(peers: &Peers, stats: &EngineStats) -> Levels {
-    Levels {
+fn gauges(peers: &Peers, stats: &EngineStats) -> Gauges {
+    Gauges {
         keys: stats.keys,
         jobs_running: stats.jobs_running,
         tasks_queued: stats.tasks_queued,
@@ -96,10 +96,10 @@
     }
 }
 
-fn count_instances(peers: &Peers, counters: &Counters) {
+fn count_instances(peers: &Peers, metrics: &Metrics) {
     let instances = peers.status().instances;
     for (state, label) in STATES {
         let count = instances.iter().filter(|one| one.state == state).count();
-        counters.set_instances(label, count as u64);
+        metrics.set_instances(label, count as u64);
     }
 }
--- a/src/util/clock.rs
+++ b/src/util/clock.rs
@@ -25,8 +25,8 @@
     pub fn now(&self) -> Now {
         let wall = SystemTime::now().duration_since(UNIX_EPOCH);
         Now {
-            mono_ms: whole_ms(self.start.elapsed()),
-            wall_ms: whole_ms(wall.unwrap_or_default()),
+            mono_ms: duration_ms(self.start.elapsed()),
+            wall_ms: duration_ms(wall.unwrap_or_default()),
         }
     }
 
@@ -38,6 +38,6 @@
 }
 
 /// Whole milliseconds of a duration; the largest number where there are more.
-pub fn whole_ms(time: Duration) -> u64 {
+pub fn duration_ms(time: Duration) -> u64 {
     u64::try_from(time.as_millis()).unwrap_or(u64::MAX)
 }
--- a/src/util/telemetry.rs
+++ b/src/util/telemetry.rs
@@ -3,7 +3,7 @@
 //! Metrics are always collected and shown as a Prometheus page; with a
 //! collector's address they are pushed as well, and traces are taken.
 
-pub mod counters;
+pub mod metrics;
 mod otlp;
 pub mod totals;
 pub mod trace;
@@ -20,7 +20,7 @@
 use prometheus::{Encoder, Registry, TextEncoder};
 use trefoil_schema::settings::Settings;
 
-use counters::Counters;
+use metrics::Metrics;
 use trace::{Hop, HopSpan, TraceParent, Traces};
 
 /// Longest wait for what is pending at the stop.
@@ -59,7 +59,7 @@
 pub struct Telemetry {
     registry: Registry,
     meters: SdkMeterProvider,
-    counters: Counters,
+    metrics: Metrics,
     traces: Traces,
 }
 
@@ -68,7 +68,7 @@
     /// called on a tokio runtime.
     pub fn start(settings: &Settings) -> Result<Self, TelemetryError> {
         let traces = match settings.telemetry.otlp_endpoint.as_str() {
-            "" => Traces::off(),
+            "" => Traces::disabled(),
             _ => Traces::new(
                 otlp::tracer_provider(settings, resource(settings))?,
                 settings.telemetry.trace_sample_percent,
@@ -91,18 +91,18 @@
             "" => meters.build(),
             _ => meters.with_reader(otlp::metric_reader(settings)?).build(),
         };
-        let counters = Counters::new(&meters.meter(SCOPE));
+        let metrics = Metrics::new(&meters.meter(SCOPE));
         Ok(Self {
             registry,
             meters,
-            counters,
+            metrics,
             traces,
         })
     }
 
     /// The instance's counters.
-    pub fn counters(&self) -> &Counters {
-        &self.counters
+    pub fn metrics(&self) -> &Metrics {
+        &self.metrics
     }
 
     /// A span for one hop; see [`Traces::span`].
@@ -113,12 +113,12 @@
     /// A span for a hop whose parent is in a header; see [`Traces::span`].
     ///
     /// The header is read only if there is one.
-    pub fn span_below(&self, hop: Hop, header: Option<&str>) -> HopSpan {
+    pub fn span_from_header(&self, hop: Hop, header: Option<&str>) -> HopSpan {
         self.span(hop, header.and_then(TraceParent::parse))
     }
 
     /// The metrics as a Prometheus text page.
-    pub fn page(&self) -> Result<String, TelemetryError> {
+    pub fn metrics_page(&self) -> Result<String, TelemetryError> {
         let mut text = Vec::new();
         TextEncoder::new()
             .encode(&self.registry.gather(), &mut text)
@@ -127,11 +127,11 @@
     }
 
     /// Sends what is pending, within `limit`; called once, last.
-    pub async fn stop(&self, limit: Duration) {
+    pub async fn shutdown(&self, limit: Duration) {
         let (meters, traces) = (self.meters.clone(), self.traces.clone());
         // The providers block while they send, which must not hold up tasks.
         let sent = tokio::task::spawn_blocking(move || {
-            traces.stop();
+            traces.shutdown();
             meters.shutdown()
         });
         drop(tokio::time::timeout(STOP_MAX.min(limit), sent).await);
--- a/src/util/telemetry/counters.rs
+++ b/src/util/telemetry/metrics.rs
@@ -131,7 +131,7 @@
 
 /// Gauges of an instance, as read at one moment.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Levels {
+pub struct Gauges {
     /// Keys remembered, running and final.
     pub keys: u64,
     /// Jobs admitted and not final.
@@ -155,19 +155,19 @@
 
 /// The instruments; clones share them.
 #[derive(Clone, Debug)]
-pub struct Counters {
+pub struct Metrics {
     jobs_submitted: Counter<u64>,
     refusals: Counter<u64>,
     task_outcomes: Counter<u64>,
     totals: [Counter<u64>; TOTAL_NAMES.len()],
     config_revision: Gauge<u64>,
-    levels: [Gauge<i64>; LEVEL_NAMES.len()],
+    gauges: [Gauge<i64>; GAUGE_NAMES.len()],
     instances: Gauge<u64>,
     response_time_ms: Histogram<f64>,
     admission_overhead_us: Histogram<f64>,
 }
 
-impl Counters {
+impl Metrics {
     /// The instruments of `meter`.
     pub fn new(meter: &Meter) -> Self {
         let counter = |name, text| meter.u64_counter(name).with_description(text).build();
@@ -178,7 +178,7 @@
             task_outcomes: counter("trefoil_task_outcomes", "Ends of placements, by outcome."),
             totals: TOTAL_NAMES.map(|total| counter(total.name, total.text)),
             config_revision: gauge("trefoil_config_revision", "Store revision in force."),
-            levels: LEVEL_NAMES.map(|(name, text)| {
+            gauges: GAUGE_NAMES.map(|(name, text)| {
                 let gauge = meter.i64_gauge(name).with_description(text);
                 gauge.build()
             }),
@@ -197,18 +197,18 @@
     }
 
     /// A submission arrived.
-    pub fn job_submitted(&self) {
+    pub fn record_submission(&self) {
         self.jobs_submitted.add(1, &[]);
     }
 
     /// A caller had the answer of a final job `response_ms` after it asked.
-    pub fn answered(&self, state: JobState, response_ms: f64) {
+    pub fn record_response_time(&self, state: JobState, response_ms: f64) {
         let label = label("state", state.to_string());
         self.response_time_ms.record(response_ms, &[label]);
     }
 
     /// Adds what the parts counted between two readings.
-    pub fn advance(&self, from: &Totals, to: &Totals) {
+    pub fn record_totals(&self, from: &Totals, to: &Totals) {
         for (total, growth) in to.since(from) {
             let labels = total.label().map(|(name, value)| label(name, value));
             self.totals[total.position()].add(growth, labels.as_slice());
@@ -216,17 +216,17 @@
     }
 
     /// A submission was refused; `reason` is one word.
-    pub fn refused(&self, reason: impl Display) {
+    pub fn record_refusal(&self, reason: impl Display) {
         self.refusals.add(1, &[label("reason", reason.to_string())]);
     }
 
     /// Admission took `overhead_us`.
-    pub fn admitted(&self, overhead_us: f64) {
+    pub fn record_admission_overhead(&self, overhead_us: f64) {
         self.admission_overhead_us.record(overhead_us, &[]);
     }
 
     /// A placement of a task ended.
-    pub fn task_ended(&self, outcome: Outcome) {
+    pub fn record_task_outcome(&self, outcome: Outcome) {
         self.task_outcomes
             .add(1, &[label("outcome", outcome.name())]);
     }
@@ -237,8 +237,8 @@
     }
 
     /// Sets the gauges.
-    pub fn set_levels(&self, levels: &Levels) {
-        for (gauge, value) in self.levels.iter().zip(levels.values()) {
+    pub fn set_gauges(&self, gauges: &Gauges) {
+        for (gauge, value) in self.gauges.iter().zip(gauges.values()) {
             gauge.record(value, &[]);
         }
     }
@@ -249,8 +249,8 @@
     }
 }
 
-/// Gauges in the order of [`Levels::values`].
-const LEVEL_NAMES: [(&str, &str); 9] = [
+/// Gauges in the order of [`Gauges::values`].
+const GAUGE_NAMES: [(&str, &str); 9] = [
     ("trefoil_keys", "Keys remembered, running and final."),
     ("trefoil_jobs_running", "Jobs admitted and not final."),
     ("trefoil_tasks_queued", "Tasks that wait for a slot."),
@@ -265,8 +265,8 @@
     ),
 ];
 
-impl Levels {
-    fn values(&self) -> [i64; LEVEL_NAMES.len()] {
+impl Gauges {
+    fn values(&self) -> [i64; GAUGE_NAMES.len()] {
         let whole = |value: u64| i64::try_from(value).unwrap_or(i64::MAX);
         [
             whole(self.keys),
--- a/src/util/telemetry/totals.rs
+++ b/src/util/telemetry/totals.rs
@@ -5,14 +5,14 @@
 
 use trefoil_core::engine::EngineStats;
 
-use super::counters::{Direction, StoreCall, WastedMessage};
+use super::metrics::{Direction, StoreCall, WastedMessage};
 use crate::links::LinkStats;
 
 /// Name, unit and meaning of one running total, and its label.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Total {
     /// Jobs that ended here.
-    JobsEnded(JobEnding),
+    JobsEnded(JobOutcome),
     /// Placements of tasks, retries among them.
     TaskStarts,
     /// Placements after a refusal of an earlier one.
@@ -39,7 +39,7 @@
 
 /// How a job ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum JobEnding {
+pub enum JobOutcome {
     /// Answered whole.
     Complete,
     /// Failed before its deadline.
@@ -50,7 +50,7 @@
     Cancelled,
 }
 
-impl JobEnding {
+impl JobOutcome {
     fn name(self) -> &'static str {
         match self {
             Self::Complete => "complete",
@@ -155,16 +155,19 @@
     }
 
     /// Adds the engine's totals.
-    pub fn push_engine(&mut self, stats: &EngineStats) {
+    pub fn push_engine_stats(&mut self, stats: &EngineStats) {
         let failed = stats.jobs_failed.saturating_sub(stats.jobs_past_deadline);
         self.0.extend([
-            (Total::JobsEnded(JobEnding::Complete), stats.jobs_complete),
-            (Total::JobsEnded(JobEnding::Failed), failed),
+            (Total::JobsEnded(JobOutcome::Complete), stats.jobs_complete),
+            (Total::JobsEnded(JobOutcome::Failed), failed),
             (
-                Total::JobsEnded(JobEnding::Deadline),
+                Total::JobsEnded(JobOutcome::Deadline),
                 stats.jobs_past_deadline,
             ),
-            (Total::JobsEnded(JobEnding::Cancelled), stats.jobs_cancelled),
+            (
+                Total::JobsEnded(JobOutcome::Cancelled),
+                stats.jobs_cancelled,
+            ),
             (Total::TaskStarts, stats.tasks_started),
             (
                 Total::Wasted(WastedMessage::LateAnswer),
@@ -183,7 +186,7 @@
     }
 
     /// Adds the links' totals.
-    pub fn push_links(&mut self, stats: &LinkStats) {
+    pub fn push_link_stats(&mut self, stats: &LinkStats) {
         let (sent, received) = (Direction::Sent, Direction::Received);
         let dropped = &stats.dropped;
         self.0.extend([
--- a/src/util/telemetry/trace.rs
+++ b/src/util/telemetry/trace.rs
@@ -36,7 +36,7 @@
     /// A request to another instance, from its sending to its answer.
     Peer,
     /// The same at the other instance, from its arrival to the answer's sending.
-    PeerServed,
+    PeerServer,
     /// One placement of a task on a backend server.
     BackendServer,
 }
@@ -46,14 +46,14 @@
         match self {
             Self::Caller => "caller",
             Self::Entry => "entry",
-            Self::Peer | Self::PeerServed => "peer",
+            Self::Peer | Self::PeerServer => "peer",
             Self::BackendServer => "backend_server",
         }
     }
 
     fn kind(self) -> SpanKind {
         match self {
-            Self::Caller | Self::PeerServed => SpanKind::Server,
+            Self::Caller | Self::PeerServer => SpanKind::Server,
             Self::Entry => SpanKind::Internal,
             Self::Peer | Self::BackendServer => SpanKind::Client,
         }
@@ -137,7 +137,7 @@
 
 impl Traces {
     /// Takes no spans; a caller's `traceparent` is still passed on.
-    pub fn off() -> Self {
+    pub fn disabled() -> Self {
         Self { source: None }
     }
 
@@ -160,20 +160,20 @@
     /// other hops take no span.
     pub fn span(&self, hop: Hop, parent: Option<TraceParent>) -> HopSpan {
         let Some(source) = &self.source else {
-            return HopSpan::not_taken(parent);
+            return HopSpan::not_recording(parent);
         };
-        let is_taken = match parent {
+        let is_recording = match parent {
             Some(parent) => parent.is_sampled,
             None => hop == Hop::Caller && source.draw(),
         };
-        match is_taken {
-            true => HopSpan::taken(source, hop, parent),
-            false => HopSpan::not_taken(parent),
+        match is_recording {
+            true => HopSpan::recording(source, hop, parent),
+            false => HopSpan::not_recording(parent),
         }
     }
 
     /// Sends what is pending; blocks.
-    pub(super) fn stop(&self) {
+    pub(super) fn shutdown(&self) {
         if let Some(source) = &self.source {
             // A collector that is away costs the last spans, nothing else.
             drop(source.provider.shutdown());
@@ -199,11 +199,11 @@
 }
 
 impl HopSpan {
-    fn not_taken(parent: Option<TraceParent>) -> Self {
+    fn not_recording(parent: Option<TraceParent>) -> Self {
         Self { parent, span: None }
     }
 
-    fn taken(source: &Source, hop: Hop, parent: Option<TraceParent>) -> Self {
+    fn recording(source: &Source, hop: Hop, parent: Option<TraceParent>) -> Self {
         let builder = source.tracer.span_builder(hop.name()).with_kind(hop.kind());
         let context = parent.map_or_else(Context::new, TraceParent::context);
         let span = source.tracer.build_with_context(builder, &context);
@@ -214,33 +214,33 @@
     }
 
     /// What the next hop takes as its parent.
-    pub fn next_parent(&self) -> Option<TraceParent> {
+    pub fn trace_parent(&self) -> Option<TraceParent> {
         self.parent
     }
 
-    /// The header for the next hop; `given` is passed on untouched where this
+    /// The header for the next hop; `incoming` is passed on untouched where this
     /// span is not taken.
-    pub fn header(&self, given: Option<Arc<str>>) -> Option<Arc<str>> {
-        match self.parent.filter(|_| self.is_taken()) {
+    pub fn outgoing_traceparent(&self, incoming: Option<Arc<str>>) -> Option<Arc<str>> {
+        match self.parent.filter(|_| self.is_recording()) {
             Some(parent) => Some(parent.to_string().into()),
-            None => given,
+            None => incoming,
         }
     }
 
     /// Whether attributes are kept; skip work for them otherwise.
-    pub fn is_taken(&self) -> bool {
+    pub fn is_recording(&self) -> bool {
         self.span.is_some()
     }
 
     /// Adds an attribute.
-    pub fn set(&mut self, name: &'static str, value: impl Into<Value>) {
+    pub fn set_attribute(&mut self, name: &'static str, value: impl Into<Value>) {
         if let Some(span) = &mut self.span {
             span.set_attribute(KeyValue::new(name, value));
         }
     }
 
     /// Marks the hop as failed.
-    pub fn fail(&mut self, detail: &str) {
+    pub fn set_error(&mut self, detail: &str) {
         if let Some(span) = &mut self.span {
             span.set_status(Status::error(detail.to_owned()));
         }
@@ -248,13 +248,13 @@
 }
 
 /// Marks a hop whose request was refused or whose job did not complete.
-pub fn note_answer(span: &mut HopSpan, answer: &JobAnswer) {
-    if !span.is_taken() {
+pub fn record_answer(span: &mut HopSpan, answer: &JobAnswer) {
+    if !span.is_recording() {
         return;
     }
     match answer {
-        JobAnswer::Refused(refusal) => span.fail(&refusal.reason.to_string()),
-        JobAnswer::Known { reason, .. } if !reason.is_empty() => span.fail(reason),
+        JobAnswer::Refused(refusal) => span.set_error(&refusal.reason.to_string()),
+        JobAnswer::Known { reason, .. } if !reason.is_empty() => span.set_error(reason),
         JobAnswer::Known { .. } => {}
     }
 }
--- a/tests/testsuite/telemetry.rs
+++ b/tests/testsuite/telemetry.rs
@@ -12,7 +12,7 @@
 use trefoilbay::links::{self, LinkStats};
 use trefoilbay::util::settings;
 use trefoilbay::util::telemetry::Telemetry;
-use trefoilbay::util::telemetry::counters::{Levels, Outcome, StoreCall, WastedMessage};
+use trefoilbay::util::telemetry::metrics::{Gauges, Outcome, StoreCall, WastedMessage};
 use trefoilbay::util::telemetry::totals::{Total, Totals};
 use trefoilbay::util::telemetry::trace::{Hop, TraceParent, Traces};
 
@@ -57,7 +57,7 @@
 
 fn totals(count: u64) -> Totals {
     let mut totals = Totals::default();
-    totals.push_engine(&EngineStats {
+    totals.push_engine_stats(&EngineStats {
         jobs_complete: count,
         jobs_failed: 3 * count,
         jobs_past_deadline: count,
@@ -68,7 +68,7 @@
         jobs_replayed: 3,
         ..EngineStats::default()
     });
-    totals.push_links(&LinkStats {
+    totals.push_link_stats(&LinkStats {
         frames_out: count,
         bytes_out: 300 * count,
         messages_in: 7 * count,
@@ -95,25 +95,25 @@
 #[test]
 fn page_shows_what_was_counted() {
     let telemetry = Telemetry::start(&settings::defaults()).unwrap();
-    let counters = telemetry.counters();
-    counters.job_submitted();
-    counters.job_submitted();
-    counters.answered(JobState::Complete, 42.0);
-    counters.advance(&totals(1), &totals(2));
-    counters.refused(RefusalReason::UnknownTeam);
-    counters.admitted(12.0);
-    counters.task_ended(Outcome::MayHaveRun);
-    counters.set_config_revision(9);
-    counters.set_levels(&Levels {
+    let metrics = telemetry.metrics();
+    metrics.record_submission();
+    metrics.record_submission();
+    metrics.record_response_time(JobState::Complete, 42.0);
+    metrics.record_totals(&totals(1), &totals(2));
+    metrics.record_refusal(RefusalReason::UnknownTeam);
+    metrics.record_admission_overhead(12.0);
+    metrics.record_task_outcome(Outcome::MayHaveRun);
+    metrics.set_config_revision(9);
+    metrics.set_gauges(&Gauges {
         tasks_queued: 5,
         tasks_running: 3,
         workers_ejected: 2,
         view_version: 11,
         admission_lead_ms: -40,
-        ..Levels::default()
+        ..Gauges::default()
     });
-    counters.set_instances("silent", 4);
-    let page = telemetry.page().unwrap();
+    metrics.set_instances("silent", 4);
+    let page = telemetry.metrics_page().unwrap();
     for (name, label, value) in [
         ("trefoil_jobs_submitted_total", "", "2"),
         ("trefoil_jobs_ended_total", "end=\"complete\"", "1"),
@@ -191,10 +191,10 @@
     let kept = Kept::default();
     let traces = kept.traces(0);
     let caller = traces.span(Hop::Caller, TraceParent::parse(SAMPLED));
-    let entry = traces.span(Hop::Entry, caller.next_parent());
-    let mut backend = traces.span(Hop::BackendServer, entry.next_parent());
-    backend.set("attempt", 1);
-    backend.fail("connection refused");
+    let entry = traces.span(Hop::Entry, caller.trace_parent());
+    let mut backend = traces.span(Hop::BackendServer, entry.trace_parent());
+    backend.set_attribute("attempt", 1);
+    backend.set_error("connection refused");
     drop((backend, entry, caller));
     assert_eq!(kept.names(), ["backend_server", "entry", "caller"]);
     let spans = kept.spans.lock().unwrap();
@@ -213,23 +213,23 @@
     let kept = Kept::default();
     let all = kept.traces(100);
     let unsampled = all.span(Hop::Caller, TraceParent::parse(UNSAMPLED));
-    assert!(!unsampled.is_taken());
-    assert_eq!(unsampled.next_parent(), TraceParent::parse(UNSAMPLED));
-    assert!(!all.span(Hop::Peer, None).is_taken());
+    assert!(!unsampled.is_recording());
+    assert_eq!(unsampled.trace_parent(), TraceParent::parse(UNSAMPLED));
+    assert!(!all.span(Hop::Peer, None).is_recording());
     let root = all.span(Hop::Caller, None);
-    assert!(root.is_taken() && root.next_parent().unwrap().is_sampled());
+    assert!(root.is_recording() && root.trace_parent().unwrap().is_sampled());
     let none = kept.traces(0).span(Hop::Caller, None);
-    assert!(!none.is_taken());
-    assert_eq!(none.next_parent(), None);
-    let off = Traces::off().span(Hop::Caller, TraceParent::parse(SAMPLED));
-    assert!(!off.is_taken());
-    assert_eq!(off.next_parent(), TraceParent::parse(SAMPLED));
+    assert!(!none.is_recording());
+    assert_eq!(none.trace_parent(), None);
+    let off = Traces::disabled().span(Hop::Caller, TraceParent::parse(SAMPLED));
+    assert!(!off.is_recording());
+    assert_eq!(off.trace_parent(), TraceParent::parse(SAMPLED));
 }
 
 #[test]
 fn share_of_new_traces_is_near_the_setting() {
     let traces = Kept::default().traces(20);
-    let taken = (0..10_000).filter(|_| traces.span(Hop::Caller, None).is_taken());
+    let taken = (0..10_000).filter(|_| traces.span(Hop::Caller, None).is_recording());
     // Twelve standard deviations each way.
     assert!((1_520..=2_480).contains(&taken.count()));
 }
@@ -251,9 +251,9 @@
     settings.telemetry.otlp_endpoint = format!("http://{address}/");
     settings.telemetry.trace_sample_percent = 100;
     let telemetry = Telemetry::start(&settings).unwrap();
-    telemetry.counters().job_submitted();
+    telemetry.metrics().record_submission();
     drop(telemetry.span(Hop::Caller, None));
-    telemetry.stop(Duration::from_secs(5)).await;
+    telemetry.shutdown(Duration::from_secs(5)).await;
     collector.abort();
     let paths: Vec<_> = paths.lock().unwrap().iter().cloned().collect();
     assert_eq!(paths, ["/v1/metrics", "/v1/traces"]);
@@ -280,7 +280,7 @@
         .build();
     let batched = Traces::new(batched, 1);
     for (name, traces, parent) in [
-        ("off", Traces::off(), None),
+        ("off", Traces::disabled(), None),
         (
             "parent not sampled",
             kept.traces(1),
@@ -302,11 +302,14 @@
         measure(|| drop(parent.unwrap().to_string()))
     );
     let telemetry = Telemetry::start(&settings::defaults()).unwrap();
-    let counters = telemetry.counters();
-    println!("counter: {:.0} ns", measure(|| counters.job_submitted()));
-    let labelled = measure(|| counters.task_ended(Outcome::Done));
+    let metrics = telemetry.metrics();
+    println!("counter: {:.0} ns", measure(|| metrics.record_submission()));
+    let labelled = measure(|| metrics.record_task_outcome(Outcome::Done));
     println!("counter with label: {labelled:.0} ns");
-    println!("histogram: {:.0} ns", measure(|| counters.admitted(20.0)));
+    println!(
+        "histogram: {:.0} ns",
+        measure(|| metrics.record_admission_overhead(20.0))
+    );
 }
 
 /// Mean nanoseconds of `work`, the least of five rounds.
--- a/tests/testsuite/telemetry_hops.rs
+++ b/tests/testsuite/telemetry_hops.rs
@@ -100,6 +100,6 @@
     assert_eq!(span.parent_span_id.to_string(), &SAMPLED[36..52]);
     let parent = format!("{}-{}-01", &SAMPLED[..35], span.span_context.span_id());
     assert_eq!(*seen.lock().unwrap(), [parent]);
-    let page = telemetry.page().unwrap();
+    let page = telemetry.metrics_page().unwrap();
     assert!(page.contains("outcome=\"done\""), "{page}");
 }
