--- a/src/runtime/tasks.rs
+++ b/src/runtime/tasks.rs
@@ -48,7 +48,7 @@
     let ended = Outcome::from(&outcome);
     telemetry.metrics().record_task_outcome(ended);
     if ended != Outcome::Done {
-        span.set_error(ended.name());
+        span.set_error(ended.label());
     }
     outcome
 }
--- a/src/util.rs
+++ b/src/util.rs
@@ -1,4 +1,4 @@
-//! Settings, logs and telemetry.
+//! Settings, logging, telemetry and clocks.
 
 pub mod clock;
 pub mod log;
--- a/src/util/clock.rs
+++ b/src/util/clock.rs
@@ -1,27 +1,27 @@
-//! The clocks of one instance.
+//! The monotonic and wall clocks of an instance.
 
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
 use tokio::time::Instant;
 use trefoil_core::time::Now;
 
-/// Reads the monotonic clock, from its start on, and the wall clock.
+/// Reads monotonic time since the clock's creation, and wall-clock time.
 ///
-/// The monotonic one is tokio's, so that tests can stop it.
+/// Monotonic time is tokio's, so that tests can pause it.
 #[derive(Clone, Copy, Debug)]
 pub struct Clock {
     start: Instant,
 }
 
 impl Clock {
-    /// A clock whose monotonic time starts now.
+    /// Creates a clock whose monotonic time starts at 0 now.
     pub fn start() -> Self {
         Self {
             start: Instant::now(),
         }
     }
 
-    /// The current instant.
+    /// Reads both clocks.
     pub fn now(&self) -> Now {
         let wall = SystemTime::now().duration_since(UNIX_EPOCH);
         Now {
@@ -30,14 +30,14 @@
         }
     }
 
-    /// Waits until the monotonic clock shows `mono_ms`.
+    /// Waits until the monotonic clock reaches `mono_ms`.
     pub async fn sleep_until_ms(&self, mono_ms: u64) {
-        let at = self.start + Duration::from_millis(mono_ms);
-        tokio::time::sleep_until(at).await;
+        let deadline = self.start + Duration::from_millis(mono_ms);
+        tokio::time::sleep_until(deadline).await;
     }
 }
 
-/// Whole milliseconds of a duration; the largest number where there are more.
-pub fn duration_ms(time: Duration) -> u64 {
-    u64::try_from(time.as_millis()).unwrap_or(u64::MAX)
+/// Returns the duration in whole milliseconds, saturating at `u64::MAX`.
+pub fn duration_ms(duration: Duration) -> u64 {
+    u64::try_from(duration.as_millis()).unwrap_or(u64::MAX)
 }
--- a/src/util/log.rs
+++ b/src/util/log.rs
@@ -1,4 +1,4 @@
-//! Log lines by slog: JSON or terminal, written by a thread of their own.
+//! Logging with slog: JSON or terminal format, written by a separate thread.
 
 use std::io;
 use std::sync::Mutex;
@@ -7,29 +7,29 @@
 pub use slog_async::AsyncGuard;
 use trefoil_schema::settings::{LogFormat, LogLevel, LogSettings, Settings};
 
-/// Lines that wait for the writer; further ones are dropped and counted.
-const LINES_WAITING_MAX: usize = 4096;
+/// Capacity of the queue to the writer thread; records beyond it are dropped and counted.
+const QUEUE_CAPACITY: usize = 4096;
 
-/// The root logger; each line carries the instance and its failure domain.
+/// Creates the root logger; each record carries the instance and its failure domain.
 ///
-/// Lines go to standard error; those that wait are written when the guard is
-/// dropped, also where clones of the logger live on.
+/// Records go to standard error. Dropping the guard flushes the queue, even while
+/// clones of the logger are alive.
 pub fn root(settings: &Settings) -> (Logger, AsyncGuard) {
     let fields = o!(
         "instance" => settings.instance.clone(),
         "failure_domain" => settings.failure_domain.clone(),
     );
-    let (writer, guard) = slog_async::Async::new(form(&settings.log).ignore_res())
-        .chan_size(LINES_WAITING_MAX)
+    let (writer, guard) = slog_async::Async::new(output(&settings.log).ignore_res())
+        .chan_size(QUEUE_CAPACITY)
         .build_with_guard();
     let filter = writer.filter_level(level(settings.log.level)).ignore_res();
     (Logger::root(filter, fields), guard)
 }
 
-fn form(settings: &LogSettings) -> Form {
+fn output(settings: &LogSettings) -> Output {
     match settings.format {
-        LogFormat::Json => Form::Json(Mutex::new(slog_json::Json::default(io::stderr()))),
-        LogFormat::Terminal => Form::Terminal(terminal()),
+        LogFormat::Json => Output::Json(Mutex::new(slog_json::Json::default(io::stderr()))),
+        LogFormat::Terminal => Output::Terminal(terminal()),
     }
 }
 
@@ -49,21 +49,20 @@
     Mutex::new(slog_term::FullFormat::new(decorator).build())
 }
 
-/// The closed set of line forms.
-enum Form {
+enum Output {
     Json(Mutex<slog_json::Json<io::Stderr>>),
     Terminal(Mutex<Terminal>),
 }
 
-impl Drain for Form {
+impl Drain for Output {
     type Ok = ();
     type Err = io::Error;
 
     fn log(&self, record: &Record<'_>, values: &OwnedKVList) -> io::Result<()> {
         let poisoned = || io::Error::other("the log writer panicked");
         match self {
-            Self::Json(form) => form.lock().map_err(|_| poisoned())?.log(record, values),
-            Self::Terminal(form) => form.lock().map_err(|_| poisoned())?.log(record, values),
+            Self::Json(drain) => drain.lock().map_err(|_| poisoned())?.log(record, values),
+            Self::Terminal(drain) => drain.lock().map_err(|_| poisoned())?.log(record, values),
         }
     }
 }
--- a/src/util/settings.rs
+++ b/src/util/settings.rs
@@ -1,10 +1,11 @@
-//! Settings from a JSON file and overrides, checked before anything starts.
+//! Loads settings from a JSON file and overrides, and validates them at startup.
 //!
-//! All wrong fields are reported together: reading goes on past a wrong field
-//! with its default in place, then the limits between fields are checked.
+//! All invalid settings are reported together: deserialization continues past an
+//! invalid field with its default, then ranges and constraints between fields
+//! are checked.
 
-mod limits;
-mod read;
+mod deserialize;
+mod validate;
 
 use std::fs;
 use std::path::Path;
@@ -13,7 +14,7 @@
 use serde_json::{Map, Value};
 pub use trefoil_schema::settings::Settings;
 
-/// Fields of [`Settings`] that hold an object with defaults of its own.
+/// Fields of [`Settings`] that are objects whose fields have defaults.
 const SECTIONS: [&str; 8] = [
     "drain",
     "jobs",
@@ -25,91 +26,91 @@
     "workers",
 ];
 
-/// One wrong field.
+/// An invalid setting.
 #[derive(Clone, Debug, Display, PartialEq, Eq)]
 #[display("{path}: found {found}; allowed: {allowed}")]
-pub struct Finding {
+pub struct InvalidSetting {
     /// Dotted path of the field.
     pub path: String,
-    /// What stands there.
+    /// The value found.
     pub found: String,
-    /// What may stand there.
+    /// The values allowed.
     pub allowed: String,
 }
 
-/// Why settings cannot be used.
+/// Why settings cannot be loaded.
 #[derive(Debug, Display, Error)]
 pub enum SettingsError {
     /// The file cannot be read.
     #[display("cannot read settings from {path}: {source}; hint: check --settings")]
     File {
-        /// The file named on the command line.
+        /// Path of the file, from the command line.
         path: String,
-        /// What the system said.
+        /// Cause.
         source: std::io::Error,
     },
-    /// The file is no JSON.
-    #[display("settings in {path} are not JSON: {source}")]
+    /// The file is not valid JSON.
+    #[display("settings in {path} are not valid JSON: {source}")]
     Json {
-        /// The file named on the command line.
+        /// Path of the file, from the command line.
         path: String,
-        /// Where parsing stopped.
+        /// The syntax error and its position.
         source: serde_json::Error,
     },
-    /// Fields are wrong.
-    #[display("{}", describe(findings))]
-    Fields {
-        /// Each wrong field, in order of its path.
+    /// Settings have the wrong type or a value out of range.
+    #[display("{}", describe(invalid))]
+    Invalid {
+        /// The invalid settings, sorted by path.
         #[error(not(source))]
-        findings: Vec<Finding>,
+        invalid: Vec<InvalidSetting>,
     },
 }
 
 impl SettingsError {
-    /// The wrong fields; empty for other errors.
-    pub fn findings(&self) -> &[Finding] {
+    /// The invalid settings; empty for other errors.
+    pub fn invalid(&self) -> &[InvalidSetting] {
         match self {
-            Self::Fields { findings } => findings,
+            Self::Invalid { invalid } => invalid,
             Self::File { .. } | Self::Json { .. } => &[],
         }
     }
 }
 
-fn describe(findings: &[Finding]) -> String {
-    let mut lines = vec![format!("{} wrong setting(s)", findings.len())];
-    lines.extend(findings.iter().map(|finding| format!("  {finding}")));
+fn describe(invalid: &[InvalidSetting]) -> String {
+    let mut lines = vec![format!("{} invalid setting(s)", invalid.len())];
+    lines.extend(invalid.iter().map(|setting| format!("  {setting}")));
     lines.join("\n")
 }
 
-/// Loads the settings of `file`, with each of `overrides` (`dotted.path=VALUE`)
-/// on top, and checks them.
+/// Loads the settings in `file`, applies `overrides` (`dotted.path=VALUE`) and
+/// validates the result.
 pub fn load(file: Option<&Path>, overrides: &[String]) -> Result<Settings, SettingsError> {
     let base = file.map_or_else(|| Ok(Value::Object(Map::new())), read_file)?;
     from_value(base, overrides)
 }
 
-/// Checks settings that are already JSON, with `overrides` on top.
+/// Applies `overrides` to settings in JSON and validates the result.
 pub fn from_value(mut base: Value, overrides: &[String]) -> Result<Settings, SettingsError> {
-    let mut findings = Vec::new();
+    let mut invalid = Vec::new();
     for item in overrides {
-        findings.extend(read::apply_override(&mut base, item).err());
+        invalid.extend(deserialize::apply_override(&mut base, item).err());
     }
-    let settings = read::typed(base, &mut findings);
-    let read_paths: Vec<_> = findings.iter().map(|item| item.path.clone()).collect();
-    let limits = limits::check(&settings).into_iter();
-    findings.extend(limits.filter(|item| !read_paths.contains(&item.path)));
-    if findings.is_empty() {
+    let settings = deserialize::deserialize(base, &mut invalid);
+    let reported: Vec<_> = invalid.iter().map(|item| item.path.clone()).collect();
+    let out_of_range = validate::validate(&settings).into_iter();
+    invalid.extend(out_of_range.filter(|item| !reported.contains(&item.path)));
+    if invalid.is_empty() {
         return Ok(settings);
     }
-    findings.sort_by(|left, right| left.path.cmp(&right.path));
-    Err(SettingsError::Fields { findings })
+    invalid.sort_by(|left, right| left.path.cmp(&right.path));
+    Err(SettingsError::Invalid { invalid })
 }
 
-/// The settings of an empty file.
+/// The default settings.
 ///
-/// Unlike `Settings::default()` this gives each section its own defaults.
+/// Unlike `Settings::default()`, fills in the defaults of each section's fields.
 pub fn defaults() -> Settings {
-    read::typed(Value::Object(Map::new()), &mut Vec::new())
+    deserialize::deserialize(Value::Object(Map::new()), &mut Vec::new())
 }
 
 fn read_file(path: &Path) -> Result<Value, SettingsError> {
--- a/src/util/settings/read.rs
+++ b/src/util/settings/deserialize.rs
@@ -1,40 +1,42 @@
-//! JSON into typed settings, past wrong fields.
+//! Deserializes settings from JSON, continuing past invalid fields.
 
 use serde_json::{Map, Value};
 use serde_path_to_error::{Path, Segment};
 use trefoil_schema::settings::Settings;
 
-use super::{Finding, SECTIONS};
+use super::{InvalidSetting, SECTIONS};
 
-/// Longest edit distance at which a known name is offered as a hint.
+/// Largest edit distance at which a known name is suggested.
 const HINT_DISTANCE_MAX: usize = 3;
 const EXPECTED: &str = ", expected ";
 const MISSING: &str = "missing field ";
 
-/// Puts `dotted.path=VALUE` into `base`; a value that is no JSON is a text.
-pub(super) fn apply_override(base: &mut Value, item: &str) -> Result<(), Finding> {
+/// Applies `dotted.path=VALUE` to `base`; a value that is not JSON is taken as a string.
+pub(super) fn apply_override(base: &mut Value, item: &str) -> Result<(), InvalidSetting> {
     let Some((path, text)) = item.split_once('=') else {
-        return Err(Finding {
+        return Err(InvalidSetting {
             path: item.to_owned(),
             found: "an override without a value".to_owned(),
             allowed: "--set dotted.path=VALUE".to_owned(),
         });
     };
     let value = serde_json::from_str(text).unwrap_or_else(|_| Value::from(text));
-    let slot = path.split('.').try_fold(base, |at, name| step_in(at, name));
-    let Some(slot) = slot else {
-        return Err(Finding {
+    let target = path
+        .split('.')
+        .try_fold(base, |parent, name| child_mut(parent, name));
+    let Some(target) = target else {
+        return Err(InvalidSetting {
             path: path.to_owned(),
-            found: "an override below a value or beyond a list's end".to_owned(),
-            allowed: "the dotted path of a field, list items by number".to_owned(),
+            found: "a path into a scalar or past the end of a list".to_owned(),
+            allowed: "the dotted path of a field, with list items by index".to_owned(),
         });
     };
-    *slot = value;
+    *target = value;
     Ok(())
 }
 
-fn step_in<'a>(at: &'a mut Value, name: &str) -> Option<&'a mut Value> {
-    match at {
+fn child_mut<'a>(parent: &'a mut Value, name: &str) -> Option<&'a mut Value> {
+    match parent {
         Value::Object(fields) => Some(
             fields
                 .entry(name)
@@ -45,9 +47,9 @@
     }
 }
 
-/// Reads `value` as settings; each wrong field is added to `findings` and
-/// taken as left out.
-pub(super) fn typed(mut value: Value, findings: &mut Vec<Finding>) -> Settings {
+/// Deserializes `value`; each invalid field is added to `invalid` and takes its
+/// default.
+pub(super) fn deserialize(mut value: Value, invalid: &mut Vec<InvalidSetting>) -> Settings {
     loop {
         fill_sections(&mut value);
         let error = match serde_path_to_error::deserialize::<_, Settings>(&value) {
@@ -56,14 +58,14 @@
         };
         let path = error.path().clone();
         let message = error.into_inner().to_string();
-        findings.push(finding(&path, &message));
-        if !repair(&mut value, &path, &message) {
+        invalid.push(invalid_setting(&path, &message));
+        if !remove_invalid(&mut value, &path, &message) {
             value = Value::Object(Map::new());
         }
     }
 }
 
-/// An absent section takes the defaults of its own fields.
+/// Inserts absent sections as empty objects, so that their fields take their own defaults.
 fn fill_sections(value: &mut Value) {
     let Some(fields) = value.as_object_mut() else {
         return;
@@ -75,9 +77,9 @@
     }
 }
 
-fn finding(path: &Path, message: &str) -> Finding {
+fn invalid_setting(path: &Path, message: &str) -> InvalidSetting {
     if let Some(name) = message.strip_prefix(MISSING) {
-        return Finding {
+        return InvalidSetting {
             path: join(&dotted(path), name.trim_matches('`')),
             found: "nothing".to_owned(),
             allowed: "a value; the field is required".to_owned(),
@@ -89,14 +91,14 @@
         false => None,
     };
     let hint = hint.map_or_else(String::new, |name| format!("; hint: did you mean {name}?"));
-    Finding {
+    InvalidSetting {
         path: dotted(path),
         found: found.to_owned(),
         allowed: format!("{}{hint}", allowed.replace('`', "")),
     }
 }
 
-/// The allowed name that is nearest to the quoted name in `found`.
+/// Returns the allowed name closest to the quoted name in `found`.
 fn nearest(found: &str, allowed: &str) -> Option<String> {
     let name = found.split('`').nth(1)?;
     let known = allowed.split('`').skip(1).step_by(2);
@@ -122,8 +124,9 @@
     row.last().copied().unwrap_or_default()
 }
 
-/// Takes the wrong part out of `value`; false where it cannot be found.
-fn repair(value: &mut Value, path: &Path, message: &str) -> bool {
+/// Removes the invalid field, or inserts the missing one, so that deserialization can
+/// continue. Returns false if the path does not exist in `value`.
+fn remove_invalid(value: &mut Value, path: &Path, message: &str) -> bool {
     let segments: Vec<_> = path.iter().collect();
     if let Some(name) = message.strip_prefix(MISSING) {
         let Some(Value::Object(fields)) = descend(value, &segments) else {
@@ -148,14 +151,14 @@
 fn descend<'a>(value: &'a mut Value, segments: &[&Segment]) -> Option<&'a mut Value> {
     segments
         .iter()
-        .try_fold(value, |at, segment| match (at, segment) {
+        .try_fold(value, |parent, segment| match (parent, segment) {
             (Value::Object(fields), Segment::Map { key }) => fields.get_mut(key),
             (Value::Array(items), Segment::Seq { index }) => items.get_mut(*index),
             _ => None,
         })
 }
 
-/// The path with list items as names: `peers.0.instance`.
+/// Formats the path with dots and list indices, such as `peers.0.instance`.
 fn dotted(path: &Path) -> String {
     let names = path.iter().map(|segment| match segment {
         Segment::Seq { index } => index.to_string(),
--- a/src/util/settings/limits.rs
+++ b/src/util/settings/validate.rs
@@ -1,4 +1,4 @@
-//! Limits of single settings and between them.
+//! Ranges of settings and constraints between them.
 
 use std::collections::BTreeSet;
 use std::fmt::Display;
@@ -9,46 +9,51 @@
     TelemetrySettings, WorkerSettings,
 };
 
-use super::Finding;
+use super::InvalidSetting;
 
 const SHARDS_MAX: u64 = 1024;
 const PERCENT_MAX: u64 = 100;
-/// Longest time that any setting may name, one day.
-const TIME_MAX_MS: u64 = 24 * 60 * 60 * 1000;
+/// Upper bound of every duration: one day.
+const DURATION_MAX_MS: u64 = 24 * 60 * 60 * 1000;
 const TASKS_MAX: u64 = 1_000_000;
 const COUNT_MAX: u64 = u32::MAX as u64;
 const BYTES_MAX: u64 = 1 << 40;
 const NAME_BYTES_MAX: usize = 63;
-/// Heartbeats that must fit into a time of silence or of vouching.
+/// Heartbeat periods that `suspect_ms` and `vouch_ahead_ms` must exceed.
 const HEARTBEATS_MIN: u64 = 2;
 
-/// All findings about `settings`.
-pub(super) fn check(settings: &Settings) -> Vec<Finding> {
-    let mut limits = Limits::default();
-    limits.instance(settings);
-    limits.peers(settings);
-    limits.platform(&settings.platform);
-    limits.jobs(&settings.jobs);
-    limits.membership(&settings.membership);
-    limits.workers(&settings.workers);
-    limits.placement(&settings.placement);
-    limits.telemetry(&settings.telemetry);
-    limits.range("drain.budget_ms", settings.drain.budget_ms, 1, TIME_MAX_MS);
-    limits.at_most(
+/// Returns the settings that are out of range or inconsistent with others.
+pub(super) fn validate(settings: &Settings) -> Vec<InvalidSetting> {
+    let mut validator = Validator::default();
+    validator.instance(settings);
+    validator.peers(settings);
+    validator.platform(&settings.platform);
+    validator.jobs(&settings.jobs);
+    validator.membership(&settings.membership);
+    validator.workers(&settings.workers);
+    validator.placement(&settings.placement);
+    validator.telemetry(&settings.telemetry);
+    validator.range(
+        "drain.budget_ms",
+        settings.drain.budget_ms,
+        1,
+        DURATION_MAX_MS,
+    );
+    validator.at_most(
         ("drain.announce_ms", settings.drain.announce_ms),
         ("drain.budget_ms", settings.drain.budget_ms),
     );
-    limits.findings
+    validator.invalid
 }
 
 #[derive(Default)]
-struct Limits {
-    findings: Vec<Finding>,
+struct Validator {
+    invalid: Vec<InvalidSetting>,
 }
 
-impl Limits {
-    fn add(&mut self, path: impl Into<String>, found: impl Display, allowed: impl Into<String>) {
-        self.findings.push(Finding {
+impl Validator {
+    fn report(&mut self, path: impl Into<String>, found: impl Display, allowed: impl Into<String>) {
+        self.invalid.push(InvalidSetting {
             path: path.into(),
             found: found.to_string(),
             allowed: allowed.into(),
@@ -58,76 +63,76 @@
     fn range(&mut self, path: &str, found: impl Into<u64>, min: u64, max: u64) {
         let found = found.into();
         if found < min || found > max {
-            self.add(path, found, format!("{min} to {max}"));
+            self.report(path, found, format!("{min} to {max}"));
         }
     }
 
     fn at_most(&mut self, low: (&str, u64), high: (&str, u64)) {
         if low.1 > high.1 {
             let allowed = format!("at most {} ({})", high.0, high.1);
-            self.add(low.0, low.1, allowed);
+            self.report(low.0, low.1, allowed);
         }
     }
 
     fn name(&mut self, path: &str, found: &str) {
-        let fits = !found.is_empty() && found.len() <= NAME_BYTES_MAX;
-        let plain = |byte: u8| byte.is_ascii_alphanumeric() || b"-_.".contains(&byte);
-        if !fits || !found.bytes().all(plain) {
+        let is_valid_length = !found.is_empty() && found.len() <= NAME_BYTES_MAX;
+        let is_allowed = |byte: u8| byte.is_ascii_alphanumeric() || b"-_.".contains(&byte);
+        if !is_valid_length || !found.bytes().all(is_allowed) {
             let allowed = format!("1 to {NAME_BYTES_MAX} of letters, digits, '-', '_' and '.'");
-            self.add(path, format!("{found:?}"), allowed);
+            self.report(path, format!("{found:?}"), allowed);
         }
     }
 
     fn address(&mut self, path: &str, found: &str) {
         match found.parse::<SocketAddr>() {
             Ok(address) if address.port() > 0 => {}
-            _ => self.add(path, format!("{found:?}"), "IP:PORT, port 1 to 65535"),
+            _ => self.report(path, format!("{found:?}"), "IP:PORT, port 1 to 65535"),
         }
     }
 
-    /// An address that peers dial, so it must name a host.
-    fn reachable(&mut self, path: &str, found: &str) {
+    /// An address that peers connect to, so its IP must not be unspecified.
+    fn peer_address(&mut self, path: &str, found: &str) {
         self.address(path, found);
         let ip = found.parse::<SocketAddr>().map(|address| address.ip());
         if ip.as_ref().is_ok_and(IpAddr::is_unspecified) {
-            self.add(path, format!("{found:?}"), "an IP that peers can reach");
+            self.report(path, format!("{found:?}"), "an IP that peers can reach");
         }
     }
 
     fn instance(&mut self, settings: &Settings) {
         self.name("instance", &settings.instance);
         self.address("http_address", &settings.http_address);
-        self.reachable("peer_address", &settings.peer_address);
+        self.peer_address("peer_address", &settings.peer_address);
         if settings.http_address == settings.peer_address {
-            self.add(
+            self.report(
                 "peer_address",
                 format!("{:?}", settings.peer_address),
-                "another address than http_address",
+                "an address other than http_address",
             );
         }
-        self.domains(&settings.failure_domains);
-        self.listed_domain("failure_domain", &settings.failure_domain, settings);
+        self.failure_domains(&settings.failure_domains);
+        self.known_failure_domain("failure_domain", &settings.failure_domain, settings);
     }
 
-    fn domains(&mut self, domains: &[String]) {
+    fn failure_domains(&mut self, domains: &[String]) {
         if domains.is_empty() {
-            self.add("failure_domains", "an empty list", "at least one name");
+            self.report("failure_domains", "an empty list", "at least one name");
         }
         let mut seen = BTreeSet::new();
         for (index, domain) in domains.iter().enumerate() {
             let path = format!("failure_domains.{index}");
             self.name(&path, domain);
             if !seen.insert(domain) {
-                self.add(path, format!("{domain:?} again"), "each name once");
+                self.report(path, format!("{domain:?} again"), "each name once");
             }
         }
     }
 
-    fn listed_domain(&mut self, path: &str, domain: &String, settings: &Settings) {
+    fn known_failure_domain(&mut self, path: &str, domain: &String, settings: &Settings) {
         if !settings.failure_domains.contains(domain) {
             let known = settings.failure_domains.join(", ");
             let allowed = format!("one of failure_domains ({known})");
-            self.add(path, format!("{domain:?}"), allowed);
+            self.report(path, format!("{domain:?}"), allowed);
         }
     }
 
@@ -139,23 +144,23 @@
             self.peer(&path, peer, settings);
             if !names.insert(&peer.instance) {
                 let found = format!("{:?} again", peer.instance);
-                self.add(format!("{path}.instance"), found, "each instance once");
+                self.report(format!("{path}.instance"), found, "each instance once");
             }
             if !addresses.insert(&peer.peer_address) {
                 let found = format!("{:?} again", peer.peer_address);
-                self.add(format!("{path}.peer_address"), found, "each address once");
+                self.report(format!("{path}.peer_address"), found, "each address once");
             }
         }
     }
 
     fn peer(&mut self, path: &str, peer: &PeerSettings, settings: &Settings) {
         self.name(&format!("{path}.instance"), &peer.instance);
-        self.reachable(&format!("{path}.peer_address"), &peer.peer_address);
+        self.peer_address(&format!("{path}.peer_address"), &peer.peer_address);
         if !peer.dial_address.is_empty() {
-            self.reachable(&format!("{path}.dial_address"), &peer.dial_address);
+            self.peer_address(&format!("{path}.dial_address"), &peer.dial_address);
         }
         let domain = format!("{path}.failure_domain");
-        self.listed_domain(&domain, &peer.failure_domain, settings);
+        self.known_failure_domain(&domain, &peer.failure_domain, settings);
     }
 
     fn platform(&mut self, platform: &PlatformSettings) {
@@ -168,10 +173,10 @@
             ),
         ] {
             if !prefix.starts_with('/') || !prefix.ends_with('/') || prefix.len() < 3 {
-                self.add(path, format!("{prefix:?}"), "a text like /NAME/");
+                self.report(path, format!("{prefix:?}"), "a prefix such as /NAME/");
             }
         }
-        let times = [
+        let durations = [
             ("platform.call_timeout_ms", platform.call_timeout_ms),
             ("platform.backoff_min_ms", platform.backoff_min_ms),
             ("platform.backoff_max_ms", platform.backoff_max_ms),
@@ -180,16 +185,16 @@
                 platform.instance_list_poll_ms,
             ),
         ];
-        self.times(&times);
+        self.durations(&durations);
         self.at_most(
             ("platform.backoff_min_ms", platform.backoff_min_ms),
             ("platform.backoff_max_ms", platform.backoff_max_ms),
         );
     }
 
-    fn times(&mut self, times: &[(&str, u64)]) {
-        for (path, found_ms) in times {
-            self.range(path, *found_ms, 1, TIME_MAX_MS);
+    fn durations(&mut self, durations: &[(&str, u64)]) {
+        for (path, found_ms) in durations {
+            self.range(path, *found_ms, 1, DURATION_MAX_MS);
         }
     }
 
@@ -208,9 +213,9 @@
             "jobs.key_ahead_max_ms",
             jobs.key_ahead_max_ms,
             0,
-            TIME_MAX_MS,
+            DURATION_MAX_MS,
         );
-        self.times(&[
+        self.durations(&[
             ("jobs.deadline_max_ms", jobs.deadline_max_ms),
             ("jobs.deadline_default_ms", jobs.deadline_default_ms),
             ("jobs.key_window_ms", jobs.key_window_ms),
@@ -226,7 +231,7 @@
     }
 
     fn membership(&mut self, membership: &MembershipSettings) {
-        self.times(&[
+        self.durations(&[
             ("membership.heartbeat_ms", membership.heartbeat_ms),
             (
                 "membership.view_change_margin_ms",
@@ -237,17 +242,17 @@
                 membership.gone_clock_bound_ms,
             ),
         ]);
-        let least_ms = membership.heartbeat_ms.saturating_mul(HEARTBEATS_MIN);
+        let min_ms = membership.heartbeat_ms.saturating_mul(HEARTBEATS_MIN);
         for (path, found_ms) in [
             ("membership.suspect_ms", membership.suspect_ms),
             ("membership.vouch_ahead_ms", membership.vouch_ahead_ms),
         ] {
-            if found_ms <= least_ms || found_ms > TIME_MAX_MS {
+            if found_ms <= min_ms || found_ms > DURATION_MAX_MS {
                 let allowed = format!(
-                    "more than {HEARTBEATS_MIN} times membership.heartbeat_ms ({least_ms}), \
-                     at most {TIME_MAX_MS}"
+                    "more than {HEARTBEATS_MIN} times membership.heartbeat_ms ({min_ms}), \
+                     at most {DURATION_MAX_MS}"
                 );
-                self.add(path, found_ms, allowed);
+                self.report(path, found_ms, allowed);
             }
         }
     }
@@ -262,7 +267,7 @@
             COUNT_MAX,
         );
         self.range("workers.eject_share_max_percent", percent, 0, PERCENT_MAX);
-        self.times(&[
+        self.durations(&[
             ("workers.connect_timeout_ms", workers.connect_timeout_ms),
             ("workers.probation_ms", workers.probation_ms),
         ]);
@@ -274,17 +279,17 @@
         self.range("placement.queue_tasks_max", queue, 1, COUNT_MAX);
         self.range("placement.retry_percent", percent, 0, PERCENT_MAX);
         self.range("placement.attempts_max", placement.attempts_max, 1, 100);
-        self.times(&[("placement.loan_ms", placement.loan_ms)]);
+        self.durations(&[("placement.loan_ms", placement.loan_ms)]);
     }
 
     fn telemetry(&mut self, telemetry: &TelemetrySettings) {
         let percent = telemetry.trace_sample_percent;
         self.range("telemetry.trace_sample_percent", percent, 0, PERCENT_MAX);
-        self.times(&[("telemetry.export_period_ms", telemetry.export_period_ms)]);
+        self.durations(&[("telemetry.export_period_ms", telemetry.export_period_ms)]);
         let endpoint = &telemetry.otlp_endpoint;
         if !endpoint.is_empty() && !endpoint.starts_with("http://") {
             let allowed = "empty or http://IP:PORT";
-            self.add("telemetry.otlp_endpoint", format!("{endpoint:?}"), allowed);
+            self.report("telemetry.otlp_endpoint", format!("{endpoint:?}"), allowed);
         }
     }
 }
--- a/src/util/telemetry.rs
+++ b/src/util/telemetry.rs
@@ -1,7 +1,7 @@
-//! Metrics and traces by OpenTelemetry.
+//! Metrics and traces with OpenTelemetry.
 //!
-//! Metrics are always collected and shown as a Prometheus page; with a
-//! collector's address they are pushed as well, and traces are taken.
+//! Metrics are always collected and served in the Prometheus text format. If an
+//! OTLP endpoint is configured, metrics and traces are exported to it.
 
 pub mod metrics;
 mod otlp;
@@ -23,33 +23,33 @@
 use metrics::Metrics;
 use trace::{Hop, HopSpan, TraceParent, Traces};
 
-/// Longest wait for what is pending at the stop.
-const STOP_MAX: Duration = Duration::from_millis(1000);
+/// Upper bound of the final export at shutdown.
+const SHUTDOWN_TIMEOUT: Duration = Duration::from_millis(1000);
 const SERVICE_NAME: &str = "trefoild";
-/// Names the origin of instruments and spans.
+/// Instrumentation scope of instruments and spans.
 const SCOPE: &str = "trefoilbay";
 
-/// Why telemetry cannot start or report.
+/// An error at the start of telemetry or when metrics are rendered.
 #[derive(Debug, Display, Error)]
 pub enum TelemetryError {
-    /// The Prometheus exporter refused the registry.
-    #[display("cannot start the metrics page: {source}")]
-    Page {
-        /// What the exporter said.
+    /// The Prometheus exporter could not be registered.
+    #[display("cannot set up the Prometheus exporter: {source}")]
+    Prometheus {
+        /// Cause.
         source: OTelSdkError,
     },
-    /// The registry could not be written as text.
-    #[display("cannot write the metrics page: {source}")]
+    /// Metrics could not be encoded as text.
+    #[display("cannot encode metrics: {source}")]
     Encode {
-        /// What the encoder said.
+        /// Cause.
         source: prometheus::Error,
     },
-    /// The collector's address does not work.
+    /// The OTLP exporter could not be built.
     #[display("cannot export to {endpoint}: {source}; hint: check telemetry.otlp_endpoint")]
     Export {
-        /// The address asked for.
+        /// The configured endpoint.
         endpoint: String,
-        /// What the exporter said.
+        /// Cause.
         source: ExporterBuildError,
     },
 }
@@ -64,8 +64,8 @@
 }
 
 impl Telemetry {
-    /// Starts what `settings` ask for; with a collector's address this must be
-    /// called on a tokio runtime.
+    /// Starts telemetry as configured. With an OTLP endpoint, this must be called
+    /// within a tokio runtime.
     pub fn start(settings: &Settings) -> Result<Self, TelemetryError> {
         let traces = match settings.telemetry.otlp_endpoint.as_str() {
             "" => Traces::disabled(),
@@ -77,16 +77,16 @@
         Self::with_traces(settings, traces)
     }
 
-    /// As [`Self::start`], with spans handled by `traces`.
+    /// Like [`Self::start`], with spans created by `traces`.
     pub fn with_traces(settings: &Settings, traces: Traces) -> Result<Self, TelemetryError> {
         let registry = Registry::new();
-        let page = opentelemetry_prometheus::exporter()
+        let prometheus = opentelemetry_prometheus::exporter()
             .with_registry(registry.clone())
             .build()
-            .map_err(|source| TelemetryError::Page { source })?;
+            .map_err(|source| TelemetryError::Prometheus { source })?;
         let meters = SdkMeterProvider::builder()
             .with_resource(resource(settings))
-            .with_reader(page);
+            .with_reader(prometheus);
         let meters = match settings.telemetry.otlp_endpoint.as_str() {
             "" => meters.build(),
             _ => meters.with_reader(otlp::metric_reader(settings)?).build(),
@@ -100,24 +100,22 @@
         })
     }
 
-    /// The instance's counters.
+    /// The metric instruments.
     pub fn metrics(&self) -> &Metrics {
         &self.metrics
     }
 
-    /// A span for one hop; see [`Traces::span`].
+    /// Starts a span for a hop; see [`Traces::span`].
     pub fn span(&self, hop: Hop, parent: Option<TraceParent>) -> HopSpan {
         self.traces.span(hop, parent)
     }
 
-    /// A span for a hop whose parent is in a header; see [`Traces::span`].
-    ///
-    /// The header is read only if there is one.
+    /// Starts a span whose parent is in a `traceparent` header; see [`Traces::span`].
     pub fn span_from_header(&self, hop: Hop, header: Option<&str>) -> HopSpan {
         self.span(hop, header.and_then(TraceParent::parse))
     }
 
-    /// The metrics as a Prometheus text page.
+    /// Renders the metrics in the Prometheus text format.
     pub fn metrics_page(&self) -> Result<String, TelemetryError> {
         let mut text = Vec::new();
         TextEncoder::new()
@@ -126,15 +124,15 @@
         Ok(String::from_utf8_lossy(&text).into_owned())
     }
 
-    /// Sends what is pending, within `limit`; called once, last.
+    /// Exports pending metrics and spans within `limit`. To be called once, at the end.
     pub async fn shutdown(&self, limit: Duration) {
         let (meters, traces) = (self.meters.clone(), self.traces.clone());
-        // The providers block while they send, which must not hold up tasks.
-        let sent = tokio::task::spawn_blocking(move || {
+        // The providers block while they export.
+        let export = tokio::task::spawn_blocking(move || {
             traces.shutdown();
             meters.shutdown()
         });
-        drop(tokio::time::timeout(STOP_MAX.min(limit), sent).await);
+        drop(tokio::time::timeout(SHUTDOWN_TIMEOUT.min(limit), export).await);
     }
 }
 
--- a/src/util/telemetry/metrics.rs
+++ b/src/util/telemetry/metrics.rs
@@ -1,4 +1,4 @@
-//! The counters, gauges and histograms of one instance.
+//! Counters, gauges and histograms of an instance.
 
 use std::fmt::Display;
 
@@ -8,39 +8,37 @@
 
 use super::totals::{TOTAL_NAMES, Totals};
 
-/// Upper bounds of response time buckets, in milliseconds.
-const RESPONSE_BOUNDS_MS: [f64; 16] = [
+const RESPONSE_TIME_BUCKETS_MS: [f64; 16] = [
     5.0, 10.0, 25.0, 50.0, 75.0, 100.0, 150.0, 250.0, 400.0, 600.0, 1_000.0, 1_500.0, 2_500.0,
     5_000.0, 10_000.0, 60_000.0,
 ];
-/// Upper bounds of admission overhead buckets, in microseconds.
-const OVERHEAD_BOUNDS_US: [f64; 12] = [
+const ADMISSION_OVERHEAD_BUCKETS_US: [f64; 12] = [
     5.0, 10.0, 25.0, 50.0, 100.0, 250.0, 500.0, 1_000.0, 2_500.0, 5_000.0, 10_000.0, 50_000.0,
 ];
 
-/// A message that brought no caller nearer to an answer.
+/// A message that did not contribute to answering a caller.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum WastedMessage {
-    /// A backend server's answer after the task was given up.
+    /// A backend server's response to a task that was already given up.
     LateAnswer,
-    /// A backend server's answer to another task.
+    /// A backend server's response that belongs to another task.
     CrossedAnswer,
-    /// A task that was refused before its start or could not be sent.
+    /// A task that was refused before it started or could not be sent.
     NotStarted,
-    /// A submission of a key that is known already.
+    /// A submission of a key that is already known.
     Resubmission,
     /// A job forwarded to an instance that does not own it.
     Misrouted,
-    /// A peer's message that nobody waits for any more.
+    /// A peer's message that nothing waits for any more.
     StalePeerMessage,
-    /// A request sent to a key's owner once more.
+    /// A request sent again to the key's owner.
     Reasked,
-    /// A request for slots that a peer had none for, or its answer.
+    /// A slot request that a peer could not grant, or its answer.
     SlotsRefused,
 }
 
 impl WastedMessage {
-    pub(super) fn name(self) -> &'static str {
+    pub(super) fn label(self) -> &'static str {
         match self {
             Self::LateAnswer => "late_answer",
             Self::CrossedAnswer => "crossed_answer",
@@ -54,16 +52,16 @@
     }
 }
 
-/// How a placement of a task ended.
+/// Outcome of one placement of a task.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
-    /// A result came back.
+    /// The task returned a result.
     Done,
     /// The task ran and failed.
     Failed,
     /// The task did not start.
     NotRun,
-    /// Nothing is known.
+    /// Whether the task started is unknown.
     MayHaveRun,
 }
 
@@ -79,8 +77,8 @@
 }
 
 impl Outcome {
-    /// The outcome as the counter's label names it.
-    pub fn name(self) -> &'static str {
+    /// Value of the metric's label.
+    pub fn label(self) -> &'static str {
         match self {
             Self::Done => "done",
             Self::Failed => "failed",
@@ -90,19 +88,19 @@
     }
 }
 
-/// A call to the platform's store; a waiting watch counts as one.
+/// A call to the platform's store. A watch counts once, however long it waits.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum StoreCall {
-    /// A read.
+    /// A range read.
     Range,
-    /// A compare-and-swap.
+    /// A compare-and-swap transaction.
     Txn,
-    /// A watch.
+    /// A watch for changes.
     Watch,
 }
 
 impl StoreCall {
-    pub(super) fn name(self) -> &'static str {
+    pub(super) fn label(self) -> &'static str {
         match self {
             Self::Range => "range",
             Self::Txn => "txn",
@@ -111,7 +109,7 @@
     }
 }
 
-/// Which way a message between instances goes.
+/// Direction of a message between instances.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Direction {
     /// To a peer.
@@ -121,7 +119,7 @@
 }
 
 impl Direction {
-    pub(super) fn name(self) -> &'static str {
+    pub(super) fn label(self) -> &'static str {
         match self {
             Self::Sent => "sent",
             Self::Received => "received",
@@ -129,31 +127,31 @@
     }
 }
 
-/// Gauges of an instance, as read at one moment.
+/// Values of the gauges at one point in time.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Gauges {
-    /// Keys remembered, running and final.
+    /// Keys remembered, of running and final jobs.
     pub keys: u64,
-    /// Jobs admitted and not final.
+    /// Jobs admitted that are not final.
     pub jobs_running: u64,
-    /// Tasks that wait for a slot.
+    /// Tasks waiting for a slot.
     pub tasks_queued: u64,
-    /// Tasks at backend servers.
+    /// Tasks running on backend servers.
     pub tasks_running: u64,
     /// Bytes of results kept for resubmissions.
     pub results_bytes: u64,
     /// Slots of backend servers that this instance may use.
     pub slots_owned: u64,
-    /// Backend servers ejected here, or on trial.
+    /// Backend servers that this instance has ejected or has on probation.
     pub workers_ejected: u64,
-    /// Version of the newest view of the own failure domain.
+    /// Version of the newest view of this instance's failure domain.
     pub view_version: u64,
-    /// How far the issue times that may be admitted reach into the future, in
-    /// milliseconds; negative once admission has ended.
+    /// How far in the future a key's issue time may be to be admitted, in milliseconds;
+    /// negative once admission has ended.
     pub admission_lead_ms: i64,
 }
 
-/// The instruments; clones share them.
+/// The metric instruments; clones share them.
 #[derive(Clone, Debug)]
 pub struct Metrics {
     jobs_submitted: Counter<u64>,
@@ -168,88 +166,93 @@
 }
 
 impl Metrics {
-    /// The instruments of `meter`.
+    /// Creates the instruments with `meter`.
     pub fn new(meter: &Meter) -> Self {
-        let counter = |name, text| meter.u64_counter(name).with_description(text).build();
-        let gauge = |name, text| meter.u64_gauge(name).with_description(text).build();
+        let counter = |name, description| {
+            meter
+                .u64_counter(name)
+                .with_description(description)
+                .build()
+        };
+        let gauge = |name, description| meter.u64_gauge(name).with_description(description).build();
         Self {
             jobs_submitted: counter("trefoil_jobs_submitted", "Submissions that arrived."),
             refusals: counter("trefoil_refusals", "Submissions refused, by reason."),
             task_outcomes: counter("trefoil_task_outcomes", "Ends of placements, by outcome."),
-            totals: TOTAL_NAMES.map(|total| counter(total.name, total.text)),
+            totals: TOTAL_NAMES.map(|total| counter(total.name, total.description)),
             config_revision: gauge("trefoil_config_revision", "Store revision in force."),
-            gauges: GAUGE_NAMES.map(|(name, text)| {
-                let gauge = meter.i64_gauge(name).with_description(text);
+            gauges: GAUGE_NAMES.map(|(name, description)| {
+                let gauge = meter.i64_gauge(name).with_description(description);
                 gauge.build()
             }),
             instances: gauge("trefoil_instances", "Instances known, by state."),
             response_time_ms: meter
                 .f64_histogram("trefoil_response_time_ms")
                 .with_description("Milliseconds from submission to answer, by final state.")
-                .with_boundaries(RESPONSE_BOUNDS_MS.to_vec())
+                .with_boundaries(RESPONSE_TIME_BUCKETS_MS.to_vec())
                 .build(),
             admission_overhead_us: meter
                 .f64_histogram("trefoil_admission_overhead_us")
                 .with_description("Microseconds from a whole request to its admission.")
-                .with_boundaries(OVERHEAD_BOUNDS_US.to_vec())
+                .with_boundaries(ADMISSION_OVERHEAD_BUCKETS_US.to_vec())
                 .build(),
         }
     }
 
-    /// A submission arrived.
+    /// Counts a submission, whether it is admitted or refused.
     pub fn record_submission(&self) {
         self.jobs_submitted.add(1, &[]);
     }
 
-    /// A caller had the answer of a final job `response_ms` after it asked.
+    /// Records the time from a caller's request to the answer with the final job.
     pub fn record_response_time(&self, state: JobState, response_ms: f64) {
         let label = label("state", state.to_string());
         self.response_time_ms.record(response_ms, &[label]);
     }
 
-    /// Adds what the parts counted between two readings.
+    /// Adds the growth of the totals between two readings.
     pub fn record_totals(&self, from: &Totals, to: &Totals) {
-        for (total, growth) in to.since(from) {
+        for (total, growth) in to.growth_since(from) {
             let labels = total.label().map(|(name, value)| label(name, value));
-            self.totals[total.position()].add(growth, labels.as_slice());
+            self.totals[total.index()].add(growth, labels.as_slice());
         }
     }
 
-    /// A submission was refused; `reason` is one word.
+    /// Counts a refused submission; `reason` is a label value.
     pub fn record_refusal(&self, reason: impl Display) {
         self.refusals.add(1, &[label("reason", reason.to_string())]);
     }
 
-    /// Admission took `overhead_us`.
+    /// Records the time from a fully read request to its admission.
     pub fn record_admission_overhead(&self, overhead_us: f64) {
         self.admission_overhead_us.record(overhead_us, &[]);
     }
 
-    /// A placement of a task ended.
+    /// Counts the outcome of a placement.
     pub fn record_task_outcome(&self, outcome: Outcome) {
         self.task_outcomes
-            .add(1, &[label("outcome", outcome.name())]);
+            .add(1, &[label("outcome", outcome.label())]);
     }
 
-    /// The revision in force changed.
+    /// Sets the store revision in force.
     pub fn set_config_revision(&self, revision: u64) {
         self.config_revision.record(revision, &[]);
     }
 
-    /// Sets the gauges.
+    /// Records a reading of the gauges.
     pub fn set_gauges(&self, gauges: &Gauges) {
         for (gauge, value) in self.gauges.iter().zip(gauges.values()) {
             gauge.record(value, &[]);
         }
     }
 
-    /// Instances known in one state, this one among them.
+    /// Sets the number of known instances in `state`, including this one.
     pub fn set_instances(&self, state: &'static str, count: u64) {
         self.instances.record(count, &[label("state", state)]);
     }
 }
 
-/// Gauges in the order of [`Gauges::values`].
+/// Name and description of each gauge, in the order of [`Gauges::values`].
 const GAUGE_NAMES: [(&str, &str); 9] = [
     ("trefoil_keys", "Keys remembered, running and final."),
     ("trefoil_jobs_running", "Jobs admitted and not final."),
@@ -267,16 +270,16 @@
 
 impl Gauges {
     fn values(&self) -> [i64; GAUGE_NAMES.len()] {
-        let whole = |value: u64| i64::try_from(value).unwrap_or(i64::MAX);
+        let to_i64 = |value: u64| i64::try_from(value).unwrap_or(i64::MAX);
         [
-            whole(self.keys),
-            whole(self.jobs_running),
-            whole(self.tasks_queued),
-            whole(self.tasks_running),
-            whole(self.results_bytes),
-            whole(self.slots_owned),
-            whole(self.workers_ejected),
-            whole(self.view_version),
+            to_i64(self.keys),
+            to_i64(self.jobs_running),
+            to_i64(self.tasks_queued),
+            to_i64(self.tasks_running),
+            to_i64(self.results_bytes),
+            to_i64(self.slots_owned),
+            to_i64(self.workers_ejected),
+            to_i64(self.view_version),
             self.admission_lead_ms,
         ]
     }
--- a/src/util/telemetry/otlp.rs
+++ b/src/util/telemetry/otlp.rs
@@ -1,4 +1,4 @@
-//! Push to a collector by OTLP over HTTP, on tokio's runtime.
+//! Export to a collector with OTLP over HTTP, on the tokio runtime.
 
 use std::time::Duration;
 
@@ -14,10 +14,9 @@
 
 const TRACES_PATH: &str = "/v1/traces";
 const METRICS_PATH: &str = "/v1/metrics";
-/// Longest wait for one push.
-const PUSH_MAX: Duration = Duration::from_secs(5);
+const EXPORT_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Spans go out in batches.
+/// Builds a tracer provider that exports spans in batches.
 pub(super) fn tracer_provider(
     settings: &Settings,
     resource: Resource,
@@ -25,7 +24,7 @@
     let exporter = SpanExporter::builder()
         .with_http()
         .with_endpoint(url(settings, TRACES_PATH))
-        .with_timeout(PUSH_MAX)
+        .with_timeout(EXPORT_TIMEOUT)
         .build()
         .map_err(|source| export_error(settings, source))?;
     let processor = BatchSpanProcessor::builder(exporter, Tokio).build();
@@ -36,20 +35,19 @@
         .build())
 }
 
-/// Children follow their parent; the share of new traces is drawn before a
-/// span is built, see [`super::trace::Traces::span`].
+/// Samples children as their parent. New traces are sampled before a span is built: see [`super::trace::Traces::span`].
 fn sampler() -> Sampler {
     Sampler::ParentBased(Box::new(Sampler::AlwaysOn))
 }
 
-/// Metrics go out once in every period.
+/// Builds a reader that exports metrics periodically.
 pub(super) fn metric_reader(
     settings: &Settings,
 ) -> Result<PeriodicReader<MetricExporter>, TelemetryError> {
     let exporter = MetricExporter::builder()
         .with_http()
         .with_endpoint(url(settings, METRICS_PATH))
-        .with_timeout(PUSH_MAX)
+        .with_timeout(EXPORT_TIMEOUT)
         .build()
         .map_err(|source| export_error(settings, source))?;
     let period = Duration::from_millis(settings.telemetry.export_period_ms);
--- a/src/util/telemetry/totals.rs
+++ b/src/util/telemetry/totals.rs
@@ -1,23 +1,23 @@
-//! What the parts of an instance have counted since its start.
+//! Running totals of the components of an instance.
 //!
-//! Parts count in plain atomics on their own paths; a reading of all of them
-//! is added to the instruments off those paths.
+//! Components count with plain atomics on their hot paths; readings of all of them are
+//! added to the metric instruments periodically, outside these paths.
 
 use trefoil_core::engine::EngineStats;
 
 use super::metrics::{Direction, StoreCall, WastedMessage};
 use crate::links::LinkStats;
 
-/// Name, unit and meaning of one running total, and its label.
+/// A running total with its label.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Total {
-    /// Jobs that ended here.
+    /// Jobs that became final at this instance.
     JobsEnded(JobOutcome),
-    /// Placements of tasks, retries among them.
+    /// Placements of tasks, including retries.
     TaskStarts,
-    /// Placements after a refusal of an earlier one.
+    /// Placements after an earlier one was refused.
     TaskRetries,
-    /// Messages that brought no caller nearer to an answer.
+    /// Messages that did not contribute to answering a caller.
     Wasted(WastedMessage),
     /// Frames between instances.
     PeerFrames(Direction),
@@ -27,9 +27,9 @@
     PeerMessages(Direction),
     /// Messages or frames between instances that were dropped, by reason.
     PeerDropped(&'static str),
-    /// Frames missing between two received ones.
+    /// Frames missing in the sequence of received ones.
     PeerGaps,
-    /// Changes of connections to peers, by what happened.
+    /// Changes of connections to peers, by event.
     PeerConnections(&'static str),
     /// Calls to the platform's store.
     StoreCalls(StoreCall),
@@ -37,10 +37,10 @@
     StoreFailures,
 }
 
-/// How a job ended.
+/// Final outcome of a job.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum JobOutcome {
-    /// Answered whole.
+    /// All tasks returned results.
     Complete,
     /// Failed before its deadline.
     Failed,
@@ -51,7 +51,7 @@
 }
 
 impl JobOutcome {
-    fn name(self) -> &'static str {
+    fn label(self) -> &'static str {
         match self {
             Self::Complete => "complete",
             Self::Failed => "failed",
@@ -61,14 +61,14 @@
     }
 }
 
-/// Instrument of a total.
+/// Name and description of a total's instrument.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct TotalName {
     pub name: &'static str,
-    pub text: &'static str,
+    pub description: &'static str,
 }
 
-/// All instruments of totals; [`Total::position`] is the place of each.
+/// The instruments of all totals, indexed by [`Total::index`].
 pub(super) const TOTAL_NAMES: [TotalName; 12] = [
     total("trefoil_jobs_ended", "Jobs that ended here, by end."),
     total("trefoil_task_starts", "Tasks sent to a backend server."),
@@ -102,16 +102,16 @@
     ),
 ];
 
-const fn total(name: &'static str, text: &'static str) -> TotalName {
-    TotalName { name, text }
+const fn total(name: &'static str, description: &'static str) -> TotalName {
+    TotalName { name, description }
 }
 
-/// A request for slots and the answer that there are none.
+/// The slot request and the answer that grants none.
 const MESSAGES_PER_REFUSED_REQUEST: u64 = 2;
 
 impl Total {
-    /// Place of the total's instrument.
-    pub(super) fn position(self) -> usize {
+    /// Index of the total's instrument in [`TOTAL_NAMES`].
+    pub(super) fn index(self) -> usize {
         match self {
             Self::JobsEnded(_) => 0,
             Self::TaskStarts => 1,
@@ -128,33 +128,33 @@
         }
     }
 
-    /// Name and value of the label, if the total has one.
+    /// Name and value of the label, if any.
     pub(super) fn label(self) -> Option<(&'static str, &'static str)> {
         match self {
-            Self::JobsEnded(end) => Some(("end", end.name())),
-            Self::Wasted(kind) => Some(("kind", kind.name())),
-            Self::PeerFrames(way) | Self::PeerBytes(way) | Self::PeerMessages(way) => {
-                Some(("direction", way.name()))
-            }
+            Self::JobsEnded(end) => Some(("end", end.label())),
+            Self::Wasted(kind) => Some(("kind", kind.label())),
+            Self::PeerFrames(direction)
+            | Self::PeerBytes(direction)
+            | Self::PeerMessages(direction) => Some(("direction", direction.label())),
             Self::PeerDropped(reason) => Some(("reason", reason)),
             Self::PeerConnections(event) => Some(("event", event)),
-            Self::StoreCalls(kind) => Some(("kind", kind.name())),
+            Self::StoreCalls(kind) => Some(("kind", kind.label())),
             Self::TaskStarts | Self::TaskRetries | Self::PeerGaps | Self::StoreFailures => None,
         }
     }
 }
 
-/// One reading: the same totals in the same order each time.
+/// A reading of all totals. Each reading has the same totals in the same order.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Totals(Vec<(Total, u64)>);
 
 impl Totals {
-    /// Adds one total to the reading.
+    /// Appends one total to the reading.
     pub fn push(&mut self, total: Total, count: u64) {
         self.0.push((total, count));
     }
 
-    /// Adds the engine's totals.
+    /// Appends the engine's totals.
     pub fn push_engine_stats(&mut self, stats: &EngineStats) {
         let failed = stats.jobs_failed.saturating_sub(stats.jobs_past_deadline);
         self.0.extend([
@@ -185,7 +185,7 @@
         ]);
     }
 
-    /// Adds the links' totals.
+    /// Appends the totals of the links to peers.
     pub fn push_link_stats(&mut self, stats: &LinkStats) {
         let (sent, received) = (Direction::Sent, Direction::Received);
         let dropped = &stats.dropped;
@@ -213,11 +213,11 @@
         ]);
     }
 
-    /// What grew since an earlier reading, with by how much.
+    /// Returns the totals that grew since an earlier reading, with the growth.
     ///
-    /// All totals have grown since the empty reading, by 0 too, so that each is
-    /// on the page from the start.
-    pub(super) fn since(&self, earlier: &Self) -> impl Iterator<Item = (Total, u64)> {
+    /// Totals that the earlier reading lacks are returned even at 0, so that each is
+    /// exported from the start.
+    pub(super) fn growth_since(&self, earlier: &Self) -> impl Iterator<Item = (Total, u64)> {
         let before = earlier.0.iter().map(|(_, count)| Some(*count));
         let pairs = self.0.iter().zip(before.chain(std::iter::repeat(None)));
         pairs.filter_map(|(&(total, to), before)| {
--- a/src/util/telemetry/trace.rs
+++ b/src/util/telemetry/trace.rs
@@ -1,8 +1,8 @@
-//! A span for each hop of a request.
+//! Trace spans for the hops of a request.
 //!
-//! Only the caller's hop starts a trace, and whether it does is drawn before
-//! anything is built: a request that is not traced costs one random number and
-//! no allocation. Later hops follow their parent.
+//! Only the caller's hop starts a trace. The sampling decision precedes building a
+//! span, so that a request that is not sampled costs one random number and no
+//! allocation. Later hops follow their parent's decision.
 
 use std::fmt;
 use std::sync::Arc;
@@ -19,23 +19,22 @@
 
 use super::SCOPE;
 
-/// HTTP header that carries a [`TraceParent`].
+/// HTTP header with a [`TraceParent`].
 pub const TRACEPARENT: &str = "traceparent";
-/// Bytes of a version 0 header; later versions may only be longer.
-const TRACEPARENT_BYTES: usize = 55;
+/// Length of a version 0 header; later versions are at least as long.
+const TRACEPARENT_BYTES_MIN: usize = 55;
 const PERCENT: u32 = 100;
 
-/// Where a span is taken.
+/// A hop of a request that has its own span.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Hop {
-    /// A caller's request, from its arrival to its answer.
+    /// A caller's request, from arrival to response.
     Caller,
-    /// A checked submission on its way through the instance that took it, up
-    /// to the job's answer.
+    /// A validated submission at the instance that accepted it, until the job's answer.
     Entry,
-    /// A request to another instance, from its sending to its answer.
+    /// A request to another instance, from sending it to receiving its answer.
     Peer,
-    /// The same at the other instance, from its arrival to the answer's sending.
+    /// A request from another instance, from receiving it to sending its answer.
     PeerServer,
     /// One placement of a task on a backend server.
     BackendServer,
@@ -60,7 +59,7 @@
     }
 }
 
-/// What one hop hands to the next, the `traceparent` of W3C Trace Context.
+/// The `traceparent` of W3C Trace Context, which a hop passes to the next.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct TraceParent {
     trace: TraceId,
@@ -69,19 +68,19 @@
 }
 
 impl TraceParent {
-    /// Reads a header; `None` where it is not valid, as the standard asks.
+    /// Parses a header; returns `None` if it is invalid.
     pub fn parse(text: &str) -> Option<Self> {
-        if text.len() < TRACEPARENT_BYTES {
+        if text.len() < TRACEPARENT_BYTES_MIN {
             return None;
         }
         let propagator = TraceContextPropagator::new();
         let context = propagator.extract_with_context(&Context::new(), &Header(text));
         let span = context.span();
         let found = span.span_context();
-        found.is_valid().then(|| Self::of(found))
+        found.is_valid().then(|| Self::from_context(found))
     }
 
-    fn of(context: &SpanContext) -> Self {
+    fn from_context(context: &SpanContext) -> Self {
         Self {
             trace: context.trace_id(),
             span: context.span_id(),
@@ -89,7 +88,7 @@
         }
     }
 
-    /// Whether spans are taken for this trace.
+    /// Whether the trace is sampled.
     pub fn is_sampled(self) -> bool {
         self.is_sampled
     }
@@ -109,7 +108,7 @@
     }
 }
 
-/// One header value, for the propagator.
+/// Adapts a header value to the propagator.
 struct Header<'a>(&'a str);
 
 impl Extractor for Header<'_> {
@@ -122,7 +121,7 @@
     }
 }
 
-/// Takes spans, or none.
+/// Creates the spans of an instance, if tracing is enabled.
 #[derive(Clone, Debug)]
 pub struct Traces {
     source: Option<Source>,
@@ -136,13 +135,13 @@
 }
 
 impl Traces {
-    /// Takes no spans; a caller's `traceparent` is still passed on.
+    /// Creates no spans; a caller's `traceparent` is still propagated.
     pub fn disabled() -> Self {
         Self { source: None }
     }
 
-    /// Takes spans for `sample_percent` of the requests that come without a
-    /// trace, and for those whose caller samples.
+    /// Samples `sample_percent` of the requests that arrive without a trace, and all
+    /// those whose parent is sampled.
     pub fn new(provider: SdkTracerProvider, sample_percent: u32) -> Self {
         let tracer = provider.tracer(SCOPE);
         Self {
@@ -154,17 +153,17 @@
         }
     }
 
-    /// A span for one hop, ended when it is dropped.
+    /// Starts a span, which ends when it is dropped.
     ///
-    /// Without a parent, [`Hop::Caller`] draws whether to start a trace, and
-    /// other hops take no span.
+    /// Without a parent, [`Hop::Caller`] may start a trace, as sampled, and other hops
+    /// record no span.
     pub fn span(&self, hop: Hop, parent: Option<TraceParent>) -> HopSpan {
         let Some(source) = &self.source else {
             return HopSpan::not_recording(parent);
         };
         let is_recording = match parent {
             Some(parent) => parent.is_sampled,
-            None => hop == Hop::Caller && source.draw(),
+            None => hop == Hop::Caller && source.should_sample(),
         };
         match is_recording {
             true => HopSpan::recording(source, hop, parent),
@@ -172,17 +171,17 @@
         }
     }
 
-    /// Sends what is pending; blocks.
+    /// Exports pending spans; blocks.
     pub(super) fn shutdown(&self) {
         if let Some(source) = &self.source {
-            // A collector that is away costs the last spans, nothing else.
+            // If the collector is unreachable, the last spans are lost.
             drop(source.provider.shutdown());
         }
     }
 }
 
 impl Source {
-    fn draw(&self) -> bool {
+    fn should_sample(&self) -> bool {
         match self.sample_percent {
             0 => false,
             PERCENT.. => true,
@@ -191,7 +190,7 @@
     }
 }
 
-/// The span of one hop; costs nothing where it is not taken.
+/// The span of a hop, or a no-op if the trace is not sampled.
 #[derive(Debug, Default)]
 pub struct HopSpan {
     parent: Option<TraceParent>,
@@ -208,18 +207,18 @@
         let context = parent.map_or_else(Context::new, TraceParent::context);
         let span = source.tracer.build_with_context(builder, &context);
         Self {
-            parent: Some(TraceParent::of(span.span_context())),
+            parent: Some(TraceParent::from_context(span.span_context())),
             span: Some(Box::new(span)),
         }
     }
 
-    /// What the next hop takes as its parent.
+    /// The parent of the next hop's span.
     pub fn trace_parent(&self) -> Option<TraceParent> {
         self.parent
     }
 
-    /// The header for the next hop; `incoming` is passed on untouched where this
-    /// span is not taken.
+    /// The header for the next hop; `incoming` is propagated unchanged if this span is
+    /// not recording.
     pub fn outgoing_traceparent(&self, incoming: Option<Arc<str>>) -> Option<Arc<str>> {
         match self.parent.filter(|_| self.is_recording()) {
             Some(parent) => Some(parent.to_string().into()),
@@ -227,19 +226,19 @@
         }
     }
 
-    /// Whether attributes are kept; skip work for them otherwise.
+    /// Whether attributes are recorded; callers can skip computing them otherwise.
     pub fn is_recording(&self) -> bool {
         self.span.is_some()
     }
 
-    /// Adds an attribute.
+    /// Sets an attribute, if the span is recording.
     pub fn set_attribute(&mut self, name: &'static str, value: impl Into<Value>) {
         if let Some(span) = &mut self.span {
             span.set_attribute(KeyValue::new(name, value));
         }
     }
 
-    /// Marks the hop as failed.
+    /// Sets the span's status to an error.
     pub fn set_error(&mut self, detail: &str) {
         if let Some(span) = &mut self.span {
             span.set_status(Status::error(detail.to_owned()));
@@ -247,7 +246,7 @@
     }
 }
 
-/// Marks a hop whose request was refused or whose job did not complete.
+/// Sets the span's status to an error if the request was refused or the job failed.
 pub fn record_answer(span: &mut HopSpan, answer: &JobAnswer) {
     if !span.is_recording() {
         return;
--- a/tests/testsuite/settings.rs
+++ b/tests/testsuite/settings.rs
@@ -1,26 +1,26 @@
-//! Settings: defaults, overrides, and all findings at once.
+//! Defaults, overrides and validation of settings.
 
 use std::process::{Command, Output};
 
 use expect_test::expect;
 use serde_json::{Value, json};
-use trefoilbay::util::settings::{self, Finding, from_value};
+use trefoilbay::util::settings::{self, InvalidSetting, from_value};
 
-fn findings(overrides: &[&str]) -> Vec<Finding> {
+fn invalid_settings(overrides: &[&str]) -> Vec<InvalidSetting> {
     let overrides: Vec<_> = overrides.iter().map(|&item| item.to_owned()).collect();
     match from_value(json!({}), &overrides) {
         Ok(_) => Vec::new(),
-        Err(error) => error.findings().to_vec(),
+        Err(error) => error.invalid().to_vec(),
     }
 }
 
 fn paths(overrides: &[&str]) -> Vec<String> {
-    let findings = findings(overrides).into_iter();
-    findings.map(|finding| finding.path).collect()
+    let invalid_settings = invalid_settings(overrides).into_iter();
+    invalid_settings.map(|setting| setting.path).collect()
 }
 
 #[test]
-fn sections_left_out_have_the_schema_defaults() {
+fn missing_sections_take_the_schema_defaults() {
     let settings = settings::defaults();
     assert_eq!(settings.drain.budget_ms, 30_000);
     assert_eq!(settings.jobs.tasks_max, 1_800);
@@ -30,7 +30,7 @@
 }
 
 #[test]
-fn overrides_are_json_or_text_and_reach_into_lists() {
+fn overrides_accept_json_strings_and_list_indices() {
     let base = json!({
         "peers": [{"instance": "b", "failure_domain": "local", "peer_address": "127.0.0.1:9"}],
         "drain": {"budget_ms": 7000},
@@ -50,7 +50,7 @@
 }
 
 #[test]
-fn all_findings_come_at_once() {
+fn all_invalid_settings_are_reported_together() {
     let overrides = [
         "drain.budget_ms=x",
         "drain.announce_ms=99999999",
@@ -62,9 +62,9 @@
         "telemetry=5",
         "oops",
     ];
-    let report: Vec<_> = findings(&overrides)
+    let report: Vec<_> = invalid_settings(&overrides)
         .iter()
-        .map(Finding::to_string)
+        .map(InvalidSetting::to_string)
         .collect();
     expect![[r#"
         drain.announce_ms: found 99999999; allowed: at most drain.budget_ms (30000)
@@ -82,7 +82,7 @@
 }
 
 #[test]
-fn each_limit_names_its_field() {
+fn each_range_error_names_its_field() {
     let cases = [
         ("instance=", "instance"),
         ("http_address=localhost:1", "http_address"),
@@ -131,7 +131,7 @@
 }
 
 #[test]
-fn values_at_their_limits_are_allowed() {
+fn boundary_values_are_accepted() {
     let overrides = [
         "jobs.shards=1024",
         "membership.vouch_ahead_ms=501",
@@ -141,11 +141,11 @@
         "drain.announce_ms=30000",
         "jobs.key_ahead_max_ms=0",
     ];
-    assert_eq!(findings(&overrides), []);
+    assert_eq!(invalid_settings(&overrides), []);
 }
 
 #[test]
-fn any_field_of_a_wrong_type_is_named_and_the_rest_is_still_read() {
+fn a_field_of_the_wrong_type_does_not_hide_other_errors() {
     let defaults = serde_json::to_value(settings::defaults()).unwrap();
     let mut leaves = Vec::new();
     collect_leaves("", &defaults, &mut leaves);
@@ -174,7 +174,7 @@
 }
 
 #[test]
-fn printed_defaults_are_accepted_as_settings() {
+fn printed_defaults_are_valid_settings() {
     let printed = trefoild(&["--print-defaults"]);
     assert!(printed.status.success());
     let value = serde_json::from_slice(&printed.stdout).unwrap();
@@ -182,7 +182,7 @@
 }
 
 #[test]
-fn check_exits_with_the_result() {
+fn check_reports_invalid_settings_by_its_exit_status() {
     assert_eq!(trefoild(&["--check"]).status.code(), Some(0));
     let wrong = trefoild(&["--check", "--set", "jobs.shards=0", "--set", "bad=1"]);
     assert_eq!(wrong.status.code(), Some(1));
@@ -192,7 +192,7 @@
 }
 
 #[test]
-fn missing_file_is_reported_with_a_hint() {
+fn missing_settings_file_is_reported_with_a_hint() {
     let output = trefoild(&["--check", "--settings", "/nonexistent/settings.json"]);
     assert_eq!(output.status.code(), Some(1));
     let report = String::from_utf8(output.stderr).unwrap();
--- a/tests/testsuite/telemetry.rs
+++ b/tests/testsuite/telemetry.rs
@@ -1,4 +1,4 @@
-//! Metrics page, traces by hop, push to a collector, and what a span costs.
+//! The metrics endpoint's text, trace spans, OTLP export and the cost of a span.
 
 use std::collections::BTreeSet;
 use std::sync::{Arc, Mutex};
@@ -19,12 +19,13 @@
 pub(crate) const SAMPLED: &str = "00-4bf92f3577b34da6a3ce929d0e0e4736-00f067aa0ba902b7-01";
 pub(crate) const UNSAMPLED: &str = "00-4bf92f3577b34da6a3ce929d0e0e4736-00f067aa0ba902b7-00";
 
+/// Keeps all exported spans.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct Kept {
+pub(crate) struct RecordingExporter {
     pub(crate) spans: Arc<Mutex<Vec<SpanData>>>,
 }
 
-impl SpanExporter for Kept {
+impl SpanExporter for RecordingExporter {
     async fn export(&self, batch: Vec<SpanData>) -> OTelSdkResult {
         self.spans.lock().unwrap().extend(batch);
         Ok(())
@@ -32,15 +33,15 @@
 }
 
 #[derive(Debug)]
-struct Dropped;
+struct DiscardingExporter;
 
-impl SpanExporter for Dropped {
+impl SpanExporter for DiscardingExporter {
     async fn export(&self, _: Vec<SpanData>) -> OTelSdkResult {
         Ok(())
     }
 }
 
-impl Kept {
+impl RecordingExporter {
     pub(crate) fn traces(&self, sample_percent: u32) -> Traces {
         let provider = SdkTracerProvider::builder()
             .with_sampler(Sampler::ParentBased(Box::new(Sampler::AlwaysOn)))
@@ -93,7 +94,7 @@
 }
 
 #[test]
-fn page_shows_what_was_counted() {
+fn metrics_page_has_all_recorded_values() {
     let telemetry = Telemetry::start(&settings::defaults()).unwrap();
     let metrics = telemetry.metrics();
     metrics.record_submission();
@@ -152,21 +153,21 @@
         ("trefoil_response_time_ms_count", "state=\"complete\"", "1"),
         ("trefoil_admission_overhead_us_sum", "", "12"),
     ] {
-        let fits = |line: &str| {
+        let is_match = |line: &str| {
             line.starts_with(&format!("{name}{{"))
                 && line.contains(label)
                 && line.ends_with(&format!("}} {value}"))
         };
-        assert!(page.lines().any(fits), "{name} {label} {value}\n{page}");
+        assert!(page.lines().any(is_match), "{name} {label} {value}\n{page}");
     }
     assert!(
         !page.contains("resubmission") && !page.contains("cancelled"),
-        "unchanged totals add nothing"
+        "totals that did not grow must not be exported"
     );
 }
 
 #[test]
-fn traceparent_is_read_and_written_as_the_standard_says() {
+fn traceparent_is_parsed_and_formatted_per_w3c_trace_context() {
     for text in [SAMPLED, UNSAMPLED] {
         assert_eq!(TraceParent::parse(text).unwrap().to_string(), text);
     }
@@ -188,16 +189,16 @@
 
 #[test]
 fn hops_of_a_sampled_request_are_one_trace() {
-    let kept = Kept::default();
-    let traces = kept.traces(0);
+    let exporter = RecordingExporter::default();
+    let traces = exporter.traces(0);
     let caller = traces.span(Hop::Caller, TraceParent::parse(SAMPLED));
     let entry = traces.span(Hop::Entry, caller.trace_parent());
     let mut backend = traces.span(Hop::BackendServer, entry.trace_parent());
     backend.set_attribute("attempt", 1);
     backend.set_error("connection refused");
     drop((backend, entry, caller));
-    assert_eq!(kept.names(), ["backend_server", "entry", "caller"]);
-    let spans = kept.spans.lock().unwrap();
+    assert_eq!(exporter.names(), ["backend_server", "entry", "caller"]);
+    let spans = exporter.spans.lock().unwrap();
     let trace_ids: BTreeSet<_> = spans
         .iter()
         .map(|span| span.span_context.trace_id().to_string())
@@ -209,16 +210,16 @@
 }
 
 #[test]
-fn parent_decides_and_only_callers_start_traces() {
-    let kept = Kept::default();
-    let all = kept.traces(100);
+fn children_follow_their_parent_and_only_callers_start_traces() {
+    let exporter = RecordingExporter::default();
+    let all = exporter.traces(100);
     let unsampled = all.span(Hop::Caller, TraceParent::parse(UNSAMPLED));
     assert!(!unsampled.is_recording());
     assert_eq!(unsampled.trace_parent(), TraceParent::parse(UNSAMPLED));
     assert!(!all.span(Hop::Peer, None).is_recording());
     let root = all.span(Hop::Caller, None);
     assert!(root.is_recording() && root.trace_parent().unwrap().is_sampled());
-    let none = kept.traces(0).span(Hop::Caller, None);
+    let none = exporter.traces(0).span(Hop::Caller, None);
     assert!(!none.is_recording());
     assert_eq!(none.trace_parent(), None);
     let off = Traces::disabled().span(Hop::Caller, TraceParent::parse(SAMPLED));
@@ -227,15 +228,15 @@
 }
 
 #[test]
-fn share_of_new_traces_is_near_the_setting() {
-    let traces = Kept::default().traces(20);
-    let taken = (0..10_000).filter(|_| traces.span(Hop::Caller, None).is_recording());
-    // Twelve standard deviations each way.
-    assert!((1_520..=2_480).contains(&taken.count()));
+fn share_of_sampled_traces_is_close_to_the_setting() {
+    let traces = RecordingExporter::default().traces(20);
+    let sampled = (0..10_000).filter(|_| traces.span(Hop::Caller, None).is_recording());
+    // The mean of 2000, plus or minus twelve standard deviations.
+    assert!((1_520..=2_480).contains(&sampled.count()));
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn collector_gets_spans_and_metrics() {
+async fn spans_and_metrics_are_exported_to_a_collector() {
     let paths = Arc::new(Mutex::new(BTreeSet::new()));
     let acceptor = TcpListener::bind("127.0.0.1:0")
         .into_acceptor()
@@ -269,56 +270,56 @@
     })
 }
 
-/// Prints the cost of a span; run in release with `--nocapture` for figures.
+/// Prints the cost of spans and metrics; run in release mode with `--nocapture`.
 #[test]
-fn cost_of_a_span() {
-    let kept = Kept::default();
+fn span_and_metric_cost() {
+    let exporter = RecordingExporter::default();
     let parent = TraceParent::parse(SAMPLED);
     let recorded = Traces::new(SdkTracerProvider::builder().build(), 1);
     let batched = SdkTracerProvider::builder()
-        .with_batch_exporter(Dropped)
+        .with_batch_exporter(DiscardingExporter)
         .build();
     let batched = Traces::new(batched, 1);
     for (name, traces, parent) in [
         ("off", Traces::disabled(), None),
         (
             "parent not sampled",
-            kept.traces(1),
+            exporter.traces(1),
             TraceParent::parse(UNSAMPLED),
         ),
-        ("no parent, 1 percent sampled", kept.traces(1), None),
+        ("no parent, 1 percent sampled", exporter.traces(1), None),
         ("sampled, no exporter", recorded, parent),
         ("sampled, exported in batches", batched, parent),
     ] {
-        let cost = measure(|| drop(traces.span(Hop::Caller, parent)));
+        let cost = mean_ns(|| drop(traces.span(Hop::Caller, parent)));
         println!("span {name}: {cost:.0} ns");
     }
     println!(
         "parse: {:.0} ns",
-        measure(|| _ = TraceParent::parse(SAMPLED))
+        mean_ns(|| _ = TraceParent::parse(SAMPLED))
     );
     println!(
         "format: {:.0} ns",
-        measure(|| drop(parent.unwrap().to_string()))
+        mean_ns(|| drop(parent.unwrap().to_string()))
     );
     let telemetry = Telemetry::start(&settings::defaults()).unwrap();
     let metrics = telemetry.metrics();
-    println!("counter: {:.0} ns", measure(|| metrics.record_submission()));
-    let labelled = measure(|| metrics.record_task_outcome(Outcome::Done));
+    println!("counter: {:.0} ns", mean_ns(|| metrics.record_submission()));
+    let labelled = mean_ns(|| metrics.record_task_outcome(Outcome::Done));
     println!("counter with label: {labelled:.0} ns");
     println!(
         "histogram: {:.0} ns",
-        measure(|| metrics.record_admission_overhead(20.0))
+        mean_ns(|| metrics.record_admission_overhead(20.0))
     );
 }
 
-/// Mean nanoseconds of `work`, the least of five rounds.
-fn measure(work: impl Fn()) -> f64 {
-    const TIMES: u32 = 20_000;
+/// Returns the mean time of `work` in nanoseconds, the smallest of five rounds.
+fn mean_ns(work: impl Fn()) -> f64 {
+    const ITERATIONS: u32 = 20_000;
     let round = || {
         let start = Instant::now();
-        (0..TIMES).for_each(|_| work());
-        start.elapsed().as_nanos() as f64 / f64::from(TIMES)
+        (0..ITERATIONS).for_each(|_| work());
+        start.elapsed().as_nanos() as f64 / f64::from(ITERATIONS)
     };
     (0..5).map(|_| round()).fold(f64::INFINITY, f64::min)
 }
--- a/tests/testsuite/telemetry_hops.rs
+++ b/tests/testsuite/telemetry_hops.rs
@@ -1,4 +1,5 @@
-//! The span of a placement, from a job's trace context to the backend server.
+//! The span of a placement continues the job's trace and is propagated to the backend
+//! server.
 
 use std::sync::{Arc, Mutex};
 
@@ -16,18 +17,18 @@
 use trefoilbay::util::telemetry::trace::TRACEPARENT;
 use trefoilbay::workers::WorkerClient;
 
-use crate::telemetry::{Kept, SAMPLED};
+use crate::telemetry::{RecordingExporter, SAMPLED};
 
 const DOMAIN: &str = "local";
 const SERVICE: &str = "register";
 
-type Seen = Arc<Mutex<Vec<String>>>;
+type ReceivedHeaders = Arc<Mutex<Vec<String>>>;
 
-/// A backend server that keeps the trace contexts it gets.
-fn backend(seen: Seen) -> impl Endpoint {
+/// A backend server that stores the `traceparent` headers it receives.
+fn backend(received: ReceivedHeaders) -> impl Endpoint {
     endpoint::make_sync(move |request: Request| {
         let header = request.header(TRACEPARENT).unwrap_or_default();
-        seen.lock().unwrap().push(header.to_owned());
+        received.lock().unwrap().push(header.to_owned());
         "1"
     })
 }
@@ -67,16 +68,16 @@
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn placement_has_a_span_that_the_backend_server_gets_as_parent() {
-    let seen = Seen::default();
+async fn placement_span_is_the_parent_that_the_backend_server_receives() {
+    let received = ReceivedHeaders::default();
     let acceptor = TcpListener::bind("127.0.0.1:0").into_acceptor();
     let acceptor = acceptor.await.unwrap();
     let address = acceptor.local_addr()[0].to_string();
     let address = address.trim_start_matches("socket://");
-    let server = poem::Server::new_with_acceptor(acceptor).run(backend(seen.clone()));
+    let server = poem::Server::new_with_acceptor(acceptor).run(backend(received.clone()));
     let server = tokio::spawn(server);
-    let kept = Kept::default();
-    let telemetry = Telemetry::with_traces(&settings::defaults(), kept.traces(0)).unwrap();
+    let exporter = RecordingExporter::default();
+    let telemetry = Telemetry::with_traces(&settings::defaults(), exporter.traces(0)).unwrap();
     let engine = Engine::new(EngineSettings {
         failure_domain: DOMAIN.to_owned(),
         ..EngineSettings::default()
@@ -95,11 +96,11 @@
     server.abort();
     let complete = matches!(answer, JobAnswer::Known { state, .. } if state == JobState::Complete);
     assert!(complete, "{answer:?}");
-    let span = kept.spans.lock().unwrap().pop().unwrap();
+    let span = exporter.spans.lock().unwrap().pop().unwrap();
     assert_eq!(span.name, "backend_server");
     assert_eq!(span.parent_span_id.to_string(), &SAMPLED[36..52]);
     let parent = format!("{}-{}-01", &SAMPLED[..35], span.span_context.span_id());
-    assert_eq!(*seen.lock().unwrap(), [parent]);
+    assert_eq!(*received.lock().unwrap(), [parent]);
     let page = telemetry.metrics_page().unwrap();
     assert!(page.contains("outcome=\"done\""), "{page}");
 }
--- a/tests/testsuite/telemetry_peers.rs
+++ b/tests/testsuite/telemetry_peers.rs
@@ -1,4 +1,4 @@
-//! One trace from the caller through two instances to the backend server.
+//! A trace spans the caller's request, both instances and the backend server.
 
 use opentelemetry::trace::SpanKind;
 use opentelemetry_sdk::trace::SpanData;
@@ -8,9 +8,9 @@
 use trefoilbay::util::telemetry::trace::TRACEPARENT;
 
 use crate::support::pair::Pair;
-use crate::telemetry::{Kept, SAMPLED, UNSAMPLED};
+use crate::telemetry::{RecordingExporter, SAMPLED, UNSAMPLED};
 
-/// Hops of a job that its owner got from another instance, outermost first.
+/// Spans of a job that another instance forwarded to its owner, outermost first.
 const FORWARDED: [(&str, SpanKind); 5] = [
     ("caller", SpanKind::Server),
     ("entry", SpanKind::Internal),
@@ -19,16 +19,17 @@
     ("backend_server", SpanKind::Client),
 ];
 
-/// Hops of a job that came to its owner.
-const HERE: [(&str, SpanKind); 3] = [
+/// Spans of a job submitted to its owner, outermost first.
+const LOCAL: [(&str, SpanKind); 3] = [
     ("caller", SpanKind::Server),
     ("entry", SpanKind::Internal),
     ("backend_server", SpanKind::Client),
 ];
-/// Each key is the other instance's by even chance.
+
+/// Upper bound of keys tried; each belongs to the other instance with probability 1/2.
 const KEYS_MAX: u32 = 40;
 
-/// A worker that answers each task with the trace context it got.
+/// A worker that returns the received `traceparent` as the task's result.
 fn worker() -> impl Endpoint {
     endpoint::make_sync(|request: Request| {
         let header = request.header(TRACEPARENT).unwrap_or_default();
@@ -36,8 +37,8 @@
     })
 }
 
-/// The spans below `outermost_parent`, each the parent of the next.
-fn chain(spans: &[SpanData], outermost_parent: &str) -> Vec<SpanData> {
+/// Returns the descendants of `outermost_parent`, each the parent of the next.
+fn span_chain(spans: &[SpanData], outermost_parent: &str) -> Vec<SpanData> {
     let mut parent = outermost_parent.to_owned();
     let mut chain = Vec::new();
     while let Some(span) = spans
@@ -58,38 +59,38 @@
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn a_forwarded_job_is_one_trace_in_parent_and_child_order() {
+async fn spans_of_a_forwarded_job_form_one_chain() {
     let acceptor = TcpListener::bind("127.0.0.1:0").into_acceptor().await;
     let acceptor = acceptor.unwrap();
     let address = *acceptor.local_addr()[0].as_socket_addr().unwrap();
     let worker = tokio::spawn(poem::Server::new_with_acceptor(acceptor).run(worker()));
-    let kept = Kept::default();
-    let telemetry = |settings: &_| Telemetry::with_traces(settings, kept.traces(0)).unwrap();
+    let exporter = RecordingExporter::default();
+    let telemetry = |settings: &_| Telemetry::with_traces(settings, exporter.traces(0)).unwrap();
     let pair = Pair::start(address, telemetry).await;
 
     let key = pair.key().await;
     for entry in pair.entries {
         pair.submit(entry, &key, UNSAMPLED).await;
     }
-    assert!(kept.spans.lock().unwrap().is_empty());
+    assert!(exporter.spans.lock().unwrap().is_empty());
     for _ in 0..KEYS_MAX {
-        kept.spans.lock().unwrap().clear();
+        exporter.spans.lock().unwrap().clear();
         let key = pair.key().await;
         let answer = pair.submit(pair.entries[0], &key, SAMPLED).await;
-        let spans = kept.spans.lock().unwrap().clone();
-        let chain = chain(&spans, &SAMPLED[36..52]);
+        let spans = exporter.spans.lock().unwrap().clone();
+        let chain = span_chain(&spans, &SAMPLED[36..52]);
         assert_eq!(chain.len(), spans.len(), "{spans:?}");
         let trace = |span: &SpanData| span.span_context.trace_id().to_string();
         assert!(chain.iter().all(|span| trace(span) == SAMPLED[3..35]));
-        let seen = answer["results"][0].as_str().unwrap();
+        let received = answer["results"][0].as_str().unwrap();
         let innermost = chain.last().unwrap().span_context.span_id().to_string();
-        assert_eq!(seen[36..52], innermost);
+        assert_eq!(received[36..52], innermost);
         let hops = hops(&chain);
         if hops == FORWARDED {
             worker.abort();
             return;
         }
-        assert_eq!(hops, HERE);
+        assert_eq!(hops, LOCAL);
     }
-    panic!("no key of {KEYS_MAX} is owned by the other instance");
+    panic!("none of {KEYS_MAX} keys is owned by the other instance");
 }
