--- a/crates/core/src/engine/registry.rs
+++ b/crates/core/src/engine/registry.rs
@@ -1,4 +1,4 @@
-//! What is declared, and the pools that serve it.
+//! The declarations in force and the pools of the declared services.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -8,18 +8,18 @@
 
 use super::command::Command;
 use super::event::{Worker, WorkerId};
-use super::pool::{Pool, ServiceTerms};
+use super::pool::{Pool, ServiceParams};
 use super::settings::EngineSettings;
 use super::shares::divide_slots;
-use super::teams::part_of_bound;
-use super::worker_set::WorkerDeal;
+use super::teams::share_of_limit;
+use super::worker_set::WorkerAssignment;
 use crate::config::ConfigSnapshot;
 use crate::time::Now;
 
-/// Leaves room for counting up from the seed.
+/// Keeps the high bits of the seed clear, so that the draw counter cannot overflow.
 const DRAW_SEED_SHIFT: u32 = 8;
 
-/// Declarations in force and one pool for every service ever declared.
+/// Declarations in force, with one pool for every service ever declared.
 #[derive(Default)]
 pub(crate) struct Registry {
     config: ConfigSnapshot,
@@ -29,47 +29,44 @@
     by_service: HashMap<Arc<str>, usize>,
     worker_ids: HashMap<Arc<str>, WorkerId>,
     last_worker_id: u32,
-    /// Whether this instance joins others that may be using the workers.
+    /// Whether other instances may still use the slots that this one gains.
     joining: bool,
 }
 
 impl Registry {
-    /// The pool of a declared service.
+    /// The pool of a service; `None` if the service is not declared.
     pub fn pool(&self, service: &str) -> Option<&Arc<Pool>> {
         self.config.services.get(service)?;
         self.pools.get(*self.by_service.get(service)?)
     }
 
-    /// The pool of a number.
-    pub fn pool_at(&self, number: usize) -> Option<&Arc<Pool>> {
+    pub fn pool_by_number(&self, number: usize) -> Option<&Arc<Pool>> {
         self.pools.get(number)
     }
 
-    /// All pools.
     pub fn pools(&self) -> &[Arc<Pool>] {
         &self.pools
     }
 
-    /// The pool and id of a declared worker that this instance knows.
+    /// The pool and id of a declared worker of this failure domain.
     pub fn worker_pool(&self, name: &str) -> Option<(&Arc<Pool>, WorkerId)> {
         let declared = self.config.backend_servers.get(name)?;
         let pool = self.pool(&declared.spec.service)?;
         Some((pool, *self.worker_ids.get(name)?))
     }
 
-    /// A team's terms, with this instance's part of its bounds.
+    /// A team's declaration, with its limits reduced to this instance's share.
     pub fn team(&self, team: &str) -> Option<TeamSpec> {
         let spec = &self.config.teams.get(team)?.spec;
         let members = self.members.len() as u32;
         let position = self.members.binary_search(&self.me).unwrap_or(0) as u32;
         Some(TeamSpec {
-            slots_max: part_of_bound(spec.slots_max, position, members),
-            queued_tasks_max: part_of_bound(spec.queued_tasks_max, position, members),
+            slots_max: share_of_limit(spec.slots_max, position, members),
+            queued_tasks_max: share_of_limit(spec.queued_tasks_max, position, members),
             ..spec.clone()
         })
     }
 
-    /// Takes new declarations.
     pub fn set_config(
         &mut self,
         settings: &Arc<EngineSettings>,
@@ -80,12 +77,11 @@
         let first = self.config.backend_servers.is_empty();
         self.joining = first && self.members.len() > 1;
         self.config = config.clone();
-        self.forget_workers();
+        self.remove_undeclared_workers();
         self.apply(settings, now, out);
         self.joining = false;
     }
 
-    /// Takes the failure domain's instances.
     pub fn set_members(
         &mut self,
         settings: &Arc<EngineSettings>,
@@ -103,7 +99,7 @@
         self.joining = false;
     }
 
-    fn forget_workers(&mut self) {
+    fn remove_undeclared_workers(&mut self) {
         let declared = &self.config.backend_servers;
         self.worker_ids
             .retain(|name, _| declared.contains_key(name));
@@ -115,22 +111,22 @@
             .config
             .services
             .iter()
-            .map(|(name, declared)| (Arc::clone(name), ServiceTerms::from(&declared.spec)))
+            .map(|(name, declared)| (Arc::clone(name), ServiceParams::from(&declared.spec)))
             .collect();
-        for (service, terms) in services {
-            let deal = WorkerDeal {
+        for (service, params) in services {
+            let assignment = WorkerAssignment {
                 workers: workers.remove(&service).unwrap_or_default(),
                 draw_seed: xxh3_64(self.me.as_bytes()) >> DRAW_SEED_SHIFT,
                 joining: self.joining,
             };
-            let pool = self.pool_or_new(settings, &service, &terms);
+            let pool = self.pool_or_new(settings, &service, &params);
             let mut pool = pool.lock();
             pool.set_members(&self.me, &self.members);
-            pool.configure(now, terms, deal, out);
+            pool.configure(now, params, assignment, out);
         }
         for (service, number) in &self.by_service {
             if !self.config.services.contains_key(service) {
-                self.pools[*number].lock().withdraw(now, out);
+                self.pools[*number].lock().undeclare(now, out);
             }
         }
     }
@@ -139,21 +135,21 @@
         &mut self,
         settings: &Arc<EngineSettings>,
         service: &Arc<str>,
-        terms: &ServiceTerms,
+        params: &ServiceParams,
     ) -> Arc<Pool> {
         if let Some(number) = self.by_service.get(service) {
             return Arc::clone(&self.pools[*number]);
         }
         let number = self.pools.len();
-        let pool = Pool::new(number as u64, Arc::clone(settings), terms.clone());
+        let pool = Pool::new(number as u64, Arc::clone(settings), params.clone());
         let pool = Arc::new(pool);
         self.pools.push(Arc::clone(&pool));
         self.by_service.insert(Arc::clone(service), number);
         pool
     }
 
-    /// Workers of this failure domain by service, each with this instance's
-    /// share of its slots.
+    /// Workers of this failure domain by service, each with the number of its
+    /// slots assigned to this instance.
     fn workers_by_service(
         &mut self,
         settings: &EngineSettings,
@@ -175,7 +171,7 @@
     }
 
     fn with_shares(&mut self, workers: Vec<Worker>) -> Vec<(WorkerId, Worker, u32)> {
-        let slots: Vec<u32> = workers.iter().map(Worker::open_slots).collect();
+        let slots: Vec<u32> = workers.iter().map(Worker::assignable_slots).collect();
         let shares = divide_slots(&slots, &self.me, &self.members);
         workers
             .into_iter()
@@ -184,13 +180,12 @@
             .collect()
     }
 
-    /// Services with their pools.
     pub fn services(&self) -> impl Iterator<Item = (&Arc<str>, &Arc<Pool>)> {
         let services = self.by_service.iter();
         services.map(|(service, number)| (service, &self.pools[*number]))
     }
 
-    /// A worker of this failure domain, by name.
+    /// A declared worker of this failure domain.
     pub fn worker(&self, name: &str) -> Option<(WorkerId, Worker)> {
         let id = *self.worker_ids.get(name)?;
         let (name, declared) = self.config.backend_servers.get_key_value(name)?;
