--- a/src/bin/trefoilctl/cli.rs
+++ b/src/bin/trefoilctl/cli.rs
@@ -1,4 +1,4 @@
-//! Arguments that subcommands share.
+//! The command line and the arguments that subcommands share.
 
 use std::env;
 use std::path::PathBuf;
@@ -8,13 +8,12 @@
 use trefoilbay::ops::client::{Client, ClientSettings};
 use trefoilbay::ops::error::OpsError;
 
-/// Environment variable with the entries, where `--entry` is not given.
-const ENTRIES_VARIABLE: &str = "TREFOIL_ENTRIES";
+/// Environment variable with the entries, used if `--entry` is not given.
+const ENTRIES_ENV: &str = "TREFOIL_ENTRIES";
 
-/// The whole command line.
 pub fn command() -> Command {
     Command::new("trefoilctl")
-        .about("Declares resources, submits jobs and watches a trefoilbay deployment")
+        .about("Manages the resources and jobs of a trefoilbay deployment")
         .version(env!("CARGO_PKG_VERSION"))
         .subcommand_required(true)
         .arg_required_else_help(true)
@@ -26,20 +25,23 @@
                 .num_args(1)
                 .action(clap::ArgAction::Append)
                 .global(true)
-                .help("Instances to ask, in this order [env: TREFOIL_ENTRIES]"),
+                .help("Entry instances, in order of preference [env: TREFOIL_ENTRIES]"),
         )
         .arg(
-            number("request-timeout-ms", "Longest time to wait for one answer")
-                .default_value("30000")
-                .global(true),
+            number(
+                "request-timeout-ms",
+                "Timeout of each request, in milliseconds",
+            )
+            .default_value("30000")
+            .global(true),
         )
         .subcommands(crate::commands::all())
 }
 
-/// A client of the entries that the arguments or the environment name.
+/// Creates a client for the entries given by the arguments or the environment.
 pub fn client(args: &ArgMatches) -> Result<Client, OpsError> {
     let mut settings = ClientSettings::default();
-    let from_environment = env::var(ENTRIES_VARIABLE).unwrap_or_default();
+    let from_environment = env::var(ENTRIES_ENV).unwrap_or_default();
     if let Some(entries) = args.get_many::<String>("entry") {
         settings.entries = entries.cloned().collect();
     } else if !from_environment.is_empty() {
@@ -49,7 +51,7 @@
     Client::new(settings)
 }
 
-/// An option with a whole number.
+/// An option that takes an unsigned integer.
 pub fn number(name: &'static str, help: &'static str) -> Arg {
     Arg::new(name)
         .long(name)
@@ -58,12 +60,11 @@
         .help(help)
 }
 
-/// The number of an option that has a default, or 0.
+/// Returns the value of an option made by [`number`], or 0 if it is absent.
 pub fn get_number(args: &ArgMatches, name: &str) -> u64 {
     args.get_one(name).copied().unwrap_or_default()
 }
 
-/// A flag.
 pub fn flag(name: &'static str, help: &'static str) -> Arg {
     Arg::new(name)
         .long(name)
@@ -71,7 +72,6 @@
         .help(help)
 }
 
-/// The `-f FILE|DIR` option, which may be repeated.
 pub fn files() -> Arg {
     Arg::new("file")
         .short('f')
@@ -80,10 +80,9 @@
         .value_parser(value_parser!(PathBuf))
         .action(clap::ArgAction::Append)
         .required(true)
-        .help("A JSON file, or a directory with `.json` files; may be repeated")
+        .help("A JSON file or a directory of `.json` files; can be repeated")
 }
 
-/// The paths given by [`files`].
 pub fn get_files(args: &ArgMatches) -> Vec<PathBuf> {
     args.get_many("file")
         .into_iter()
@@ -92,21 +91,21 @@
         .collect()
 }
 
-/// The KIND argument.
 pub fn kind() -> Arg {
     Arg::new("kind")
         .value_name("KIND")
         .required(true)
         .value_parser(parse_kind)
-        .help("team, service or backend-server (or the plural)")
+        .help("team, service or backend-server, or their plurals")
 }
 
-/// The kind given by [`kind`].
 pub fn get_kind(args: &ArgMatches) -> Kind {
-    *args.get_one("kind").expect("clap asks for it")
+    *args
+        .get_one("kind")
+        .expect("clap enforces required arguments")
 }
 
-/// A positional argument that must be given.
+/// A required positional argument.
 pub fn positional(name: &'static str, value_name: &'static str, help: &'static str) -> Arg {
     Arg::new(name)
         .value_name(value_name)
@@ -114,9 +113,10 @@
         .help(help)
 }
 
-/// The text of an argument that must be given.
+/// Returns the value of a required argument.
 pub fn get_text<'a>(args: &'a ArgMatches, name: &str) -> &'a str {
-    args.get_one::<String>(name).expect("clap asks for it")
+    args.get_one::<String>(name)
+        .expect("clap enforces required arguments")
 }
 
 fn parse_kind(text: &str) -> Result<Kind, String> {
@@ -124,6 +124,6 @@
         "team" => Ok(Kind::Team),
         "service" => Ok(Kind::Service),
         "backend-server" | "backend_server" => Ok(Kind::BackendServer),
-        _ => Err("the kinds are team, service and backend-server".to_owned()),
+        _ => Err("expected team, service or backend-server".to_owned()),
     }
 }
--- a/src/bin/trefoilctl/commands.rs
+++ b/src/bin/trefoilctl/commands.rs
@@ -1,4 +1,4 @@
-//! The subcommands, one file each.
+//! The subcommands.
 
 mod apply;
 mod cancel;
@@ -16,10 +16,8 @@
 use clap::{ArgMatches, Command};
 use trefoilbay::ops::error::{ExitStatus, OpsError};
 
-/// How a subcommand ends.
 pub type CommandResult = Result<ExitStatus, OpsError>;
 
-/// The arguments of all subcommands.
 pub fn all() -> Vec<Command> {
     vec![
         apply::cli(),
@@ -37,7 +35,6 @@
     ]
 }
 
-/// Carries out the subcommand that was given.
 pub async fn exec(args: &ArgMatches) -> CommandResult {
     let Some((name, args)) = args.subcommand() else {
         return Ok(ExitStatus::Usage);
--- a/src/bin/trefoilctl/commands/apply.rs
+++ b/src/bin/trefoilctl/commands/apply.rs
@@ -5,28 +5,29 @@
 use trefoilbay::ops::client::Client;
 use trefoilbay::ops::declare;
 use trefoilbay::ops::error::ExitStatus;
-use trefoilbay::ops::rollout::{self, Fleet};
+use trefoilbay::ops::rollout::{self, DeploymentStatus};
 
 use super::CommandResult;
 use crate::{cli, output};
 
-/// Its arguments.
 pub fn cli() -> Command {
     Command::new("apply")
-        .about("Declares resources: creates and updates, never removes")
+        .about("Creates and updates resources; never deletes any")
         .arg(cli::files())
         .arg(cli::flag(
             "dry-run",
-            "Have an instance check, store nothing",
+            "Validate at an instance without storing anything",
         ))
         .arg(
-            cli::flag("wait", "Wait until all live instances have it in force")
-                .conflicts_with("dry-run"),
+            cli::flag(
+                "wait",
+                "Wait until the change is in force at all live instances",
+            )
+            .conflicts_with("dry-run"),
         )
-        .arg(cli::number("timeout-ms", "Longest time that --wait takes").default_value("30000"))
+        .arg(cli::number("timeout-ms", "Timeout of --wait, in milliseconds").default_value("30000"))
 }
 
-/// Carries it out.
 pub async fn exec(args: &ArgMatches) -> CommandResult {
     let client = cli::client(args)?;
     let declared = declare::load(&cli::get_files(args))?;
@@ -36,7 +37,7 @@
     for (done, step) in steps.iter().enumerate() {
         let applied = apply::apply(&client, step, dry_run)
             .await
-            .inspect_err(|_| note_failure(step, done, steps.len()))?;
+            .inspect_err(|_| report_failure(step, done, steps.len()))?;
         print_step(step, applied, dry_run);
         revision = revision.max(applied.revision);
     }
@@ -47,29 +48,31 @@
 }
 
 async fn wait(client: &Client, revision: u64, timeout_ms: u64) -> CommandResult {
-    let mut shown = None;
-    let show = |fleet: &Fleet| {
-        let counts = fleet.counts(revision);
-        if shown.replace(counts) != Some(counts) {
+    let mut last_counts = None;
+    let progress = |deployment: &DeploymentStatus| {
+        let counts = deployment.counts(revision);
+        if last_counts.replace(counts) != Some(counts) {
             let (done, counted) = counts;
             output::note(format_args!(
                 "revision {revision} in force at {done} of {counted} instances"
             ));
         }
     };
-    rollout::wait(client, revision, timeout_ms, show).await?;
-    output::line(format_args!("revision {revision} in force at all"));
+    rollout::wait(client, revision, timeout_ms, progress).await?;
+    output::line(format_args!(
+        "revision {revision} in force at all live instances"
+    ));
     Ok(ExitStatus::Ok)
 }
 
 fn print_step(step: &Step, applied: Applied, dry_run: bool) {
-    let what = match step.change {
+    let action = match step.change {
         Change::Create => "created",
         Change::Update => "updated",
         Change::Unchanged => "unchanged",
     };
     let resource = &step.resource;
-    let mut text = format!("{}/{} {what}", resource.kind, resource.name);
+    let mut text = format!("{}/{} {action}", resource.kind, resource.name);
     if dry_run {
         text += " (dry run)";
     } else {
@@ -81,9 +84,9 @@
     output::line(text);
 }
 
-fn note_failure(step: &Step, done: usize, total: usize) {
+fn report_failure(step: &Step, done: usize, total: usize) {
     output::note(format_args!(
-        "{}/{} failed; {done} of {total} done before it",
+        "{}/{} failed; {done} of {total} resources were applied before it",
         step.resource.kind, step.resource.name
     ));
 }
--- a/src/bin/trefoilctl/commands/cancel.rs
+++ b/src/bin/trefoilctl/commands/cancel.rs
@@ -7,14 +7,12 @@
 use super::CommandResult;
 use crate::{cli, output};
 
-/// Its arguments.
 pub fn cli() -> Command {
     Command::new("cancel")
-        .about("Cancels a job; tasks that are still queued never start")
+        .about("Cancels a job; queued tasks will not start")
         .arg(cli::positional("key", "KEY", "Idempotency key of the job"))
 }
 
-/// Carries it out.
 pub async fn exec(args: &ArgMatches) -> CommandResult {
     let client = cli::client(args)?;
     output::json(&job::cancel(&client, cli::get_text(args, "key")).await?);
--- a/src/bin/trefoilctl/commands/completions.rs
+++ b/src/bin/trefoilctl/commands/completions.rs
@@ -8,10 +8,9 @@
 
 use super::CommandResult;
 
-/// Its arguments.
 pub fn cli() -> Command {
     Command::new("completions")
-        .about("Prints the completion script of a shell")
+        .about("Prints the completion script for a shell")
         .arg(
             Arg::new("shell")
                 .value_name("SHELL")
@@ -20,9 +19,10 @@
         )
 }
 
-/// Carries it out.
 pub fn exec(args: &ArgMatches) -> CommandResult {
-    let shell = *args.get_one::<Shell>("shell").expect("clap asks for it");
+    let shell = *args
+        .get_one::<Shell>("shell")
+        .expect("clap enforces required arguments");
     let mut command = crate::cli::command();
     clap_complete::generate(shell, &mut command, "trefoilctl", &mut io::stdout());
     Ok(ExitStatus::Ok)
--- a/src/bin/trefoilctl/commands/delete.rs
+++ b/src/bin/trefoilctl/commands/delete.rs
@@ -7,15 +7,13 @@
 use super::CommandResult;
 use crate::{cli, output};
 
-/// Its arguments.
 pub fn cli() -> Command {
     Command::new("delete")
-        .about("Removes a resource, unless it changes meanwhile")
+        .about("Deletes a resource, unless it changes concurrently")
         .arg(cli::kind())
         .arg(cli::positional("name", "NAME", "Name of the resource"))
 }
 
-/// Carries it out.
 pub async fn exec(args: &ArgMatches) -> CommandResult {
     let client = cli::client(args)?;
     let kind = cli::get_kind(args);
--- a/src/bin/trefoilctl/commands/describe.rs
+++ b/src/bin/trefoilctl/commands/describe.rs
@@ -9,7 +9,6 @@
 use crate::table::Table;
 use crate::{cli, output};
 
-/// Its arguments.
 pub fn cli() -> Command {
     Command::new("describe")
         .about("Shows a resource's declaration, status and conditions")
@@ -17,7 +16,6 @@
         .arg(cli::positional("name", "NAME", "Name of the resource"))
 }
 
-/// Carries it out.
 pub async fn exec(args: &ArgMatches) -> CommandResult {
     let client = cli::client(args)?;
     let kind = cli::get_kind(args);
@@ -36,7 +34,7 @@
         status.instances_in_force, status.instances_live
     ));
     output::line("spec:");
-    output::json(&apply::completed(found.kind, &found.spec));
+    output::json(&apply::display_spec(found.kind, &found.spec));
     if !status.conditions.is_empty() {
         print_conditions(&status.conditions);
     }
@@ -45,7 +43,7 @@
 fn print_conditions(conditions: &[Condition]) {
     let mut table = Table::new(vec!["CONDITION", "STATUS", "REASON", "MESSAGE"]);
     for condition in conditions {
-        table.row(vec![
+        table.add_row(vec![
             condition.type_.clone(),
             condition.status.to_string(),
             condition.reason.clone(),
--- a/src/bin/trefoilctl/commands/diff.rs
+++ b/src/bin/trefoilctl/commands/diff.rs
@@ -7,14 +7,12 @@
 use super::CommandResult;
 use crate::{cli, output};
 
-/// Its arguments.
 pub fn cli() -> Command {
     Command::new("diff")
-        .about("Shows what apply would change, defaults written out")
+        .about("Shows what apply would change, with defaults filled in")
         .arg(cli::files())
 }
 
-/// Carries it out.
 pub async fn exec(args: &ArgMatches) -> CommandResult {
     let client = cli::client(args)?;
     let declared = declare::load(&cli::get_files(args))?;
--- a/src/bin/trefoilctl/commands/get.rs
+++ b/src/bin/trefoilctl/commands/get.rs
@@ -10,23 +10,25 @@
 use crate::table::Table;
 use crate::{cli, output};
 
-/// Its arguments.
 pub fn cli() -> Command {
     Command::new("get")
         .about("Lists resources")
         .arg(cli::kind())
-        .arg(Arg::new("name").value_name("NAME").help("Only this one"))
+        .arg(
+            Arg::new("name")
+                .value_name("NAME")
+                .help("Name of a single resource"),
+        )
         .arg(
             Arg::new("output")
                 .short('o')
                 .long("output")
                 .value_parser(["table", "json"])
                 .default_value("table")
-                .help("Form of the output"),
+                .help("Output format"),
         )
 }
 
-/// Carries it out.
 pub async fn exec(args: &ArgMatches) -> CommandResult {
     let client = cli::client(args)?;
     let kind = cli::get_kind(args);
@@ -51,22 +53,22 @@
             format!("{}/{}", status.instances_in_force, status.instances_live),
         ];
         cells.extend(spec_cells(resource));
-        table.row(cells);
+        table.add_row(cells);
     }
     table.print();
 }
 
 fn headings(kind: Kind) -> Vec<&'static str> {
-    let of_spec = fields(kind).iter().map(|(heading, _)| *heading);
+    let spec_headings = columns(kind).iter().map(|(heading, _)| *heading);
     ["NAME", "REVISION", "IN FORCE"]
         .into_iter()
-        .chain(of_spec)
+        .chain(spec_headings)
         .collect()
 }
 
 fn spec_cells(resource: &StoredResource) -> Vec<String> {
-    let spec = apply::completed(resource.kind, &resource.spec);
-    fields(resource.kind)
+    let spec = apply::display_spec(resource.kind, &resource.spec);
+    columns(resource.kind)
         .iter()
         .map(|(_, pointer)| match spec.pointer(pointer) {
             Some(Value::String(text)) => text.clone(),
@@ -76,8 +78,8 @@
         .collect()
 }
 
-/// Columns of a kind: heading, and where the value is in the spec.
-fn fields(kind: Kind) -> &'static [(&'static str, &'static str)] {
+/// Columns of a kind: the heading and the JSON pointer to the value in the spec.
+fn columns(kind: Kind) -> &'static [(&'static str, &'static str)] {
     match kind {
         Kind::Team => &[
             ("WEIGHT", "/weight"),
--- a/src/bin/trefoilctl/commands/job.rs
+++ b/src/bin/trefoilctl/commands/job.rs
@@ -7,15 +7,19 @@
 use super::CommandResult;
 use crate::{cli, output};
 
-/// Its arguments.
 pub fn cli() -> Command {
     Command::new("job")
-        .about("Shows a job's state and, when complete, its results")
+        .about("Shows a job's state and, once complete, its results")
         .arg(cli::positional("key", "KEY", "Idempotency key of the job"))
-        .arg(cli::number("wait-ms", "Wait this long for a final state").default_value("0"))
+        .arg(
+            cli::number(
+                "wait-ms",
+                "How long to wait for a final state, in milliseconds",
+            )
+            .default_value("0"),
+        )
 }
 
-/// Carries it out.
 pub async fn exec(args: &ArgMatches) -> CommandResult {
     let client = cli::client(args)?;
     let wait_ms = cli::get_number(args, "wait-ms");
--- a/src/bin/trefoilctl/commands/schema.rs
+++ b/src/bin/trefoilctl/commands/schema.rs
@@ -7,10 +7,9 @@
 use super::CommandResult;
 use crate::{cli, output};
 
-/// Its arguments.
 pub fn cli() -> Command {
     Command::new("schema")
-        .about("Prints the JSON Schema of a file or of the API's bodies")
+        .about("Prints the JSON Schema of settings files, resource files or API bodies")
         .arg(
             Arg::new("of")
                 .value_name("OF")
@@ -19,7 +18,6 @@
         )
 }
 
-/// Carries it out.
 pub fn exec(args: &ArgMatches) -> CommandResult {
     let text = match cli::get_text(args, "of") {
         "settings" => SETTINGS_SCHEMA,
--- a/src/bin/trefoilctl/commands/status.rs
+++ b/src/bin/trefoilctl/commands/status.rs
@@ -2,32 +2,30 @@
 
 use clap::{ArgMatches, Command};
 use trefoilbay::ops::error::ExitStatus;
-use trefoilbay::ops::rollout::{self, Fleet};
+use trefoilbay::ops::rollout::{self, DeploymentStatus};
 
 use super::CommandResult;
 use crate::table::Table;
 use crate::{cli, output};
 
-/// Its arguments.
 pub fn cli() -> Command {
-    Command::new("status").about("Shows all instances and the revision in force at each")
+    Command::new("status").about("Shows all instances with the revision in force at each")
 }
 
-/// Carries it out.
 pub async fn exec(args: &ArgMatches) -> CommandResult {
     let client = cli::client(args)?;
-    let fleet = rollout::look(&client).await?;
-    print_table(&fleet);
-    for entry in &fleet.entries_silent {
-        output::note(format_args!("entry {entry} did not answer"));
+    let deployment = rollout::fetch_status(&client).await?;
+    print_table(&deployment);
+    for entry in &deployment.entries_failed {
+        output::note(format_args!("entry {entry} did not respond"));
     }
-    for instance in &fleet.store_unreachable {
+    for instance in &deployment.store_unreachable {
         output::note(format_args!("{instance} cannot reach the platform's store"));
     }
     Ok(ExitStatus::Ok)
 }
 
-fn print_table(fleet: &Fleet) {
+fn print_table(deployment: &DeploymentStatus) {
     let mut table = Table::new(vec![
         "INSTANCE",
         "START",
@@ -36,8 +34,8 @@
         "REVISION",
         "HEARD MS AGO",
     ]);
-    for instance in fleet.instances.values() {
-        table.row(vec![
+    for instance in deployment.instances.values() {
+        table.add_row(vec![
             instance.instance.clone(),
             instance.incarnation.to_string(),
             instance.failure_domain.clone(),
--- a/src/bin/trefoilctl/commands/submit.rs
+++ b/src/bin/trefoilctl/commands/submit.rs
@@ -12,10 +12,9 @@
 use super::CommandResult;
 use crate::{cli, output};
 
-/// Its arguments.
 pub fn cli() -> Command {
     Command::new("submit")
-        .about("Submits a job and prints its answer; the key goes to stderr first")
+        .about("Submits a job and prints its result; prints the key to stderr first")
         .arg(
             Arg::new("file")
                 .short('f')
@@ -25,7 +24,7 @@
                 .help("A JSON file with the job"),
         )
         .arg(
-            text("service", "NAME", "Service of a job without a file")
+            text("service", "NAME", "Service that runs the tasks")
                 .required_unless_present("file")
                 .conflicts_with("file"),
         )
@@ -35,7 +34,7 @@
             "Team whose quota the job counts against",
         ))
         .arg(
-            cli::number("tasks", "How many tasks")
+            cli::number("tasks", "Number of tasks")
                 .default_value("1")
                 .conflicts_with("file"),
         )
@@ -44,26 +43,28 @@
                 .default_value("{}")
                 .conflicts_with("file"),
         )
-        .arg(text("key", "KEY", "Idempotency key; minted when not given"))
-        .arg(cli::number("deadline-ms", "Time the job has"))
-        .arg(cli::flag("no-wait", "Do not wait for the answer"))
+        .arg(text("key", "KEY", "Idempotency key; a new one by default"))
+        .arg(cli::number(
+            "deadline-ms",
+            "Time limit of the job, in milliseconds",
+        ))
+        .arg(cli::flag("no-wait", "Do not wait for the result"))
         .arg(
             cli::number(
                 "repeat",
-                "Submit this often more with the same key, at the next entries",
+                "Number of further submissions with the same key, each at the next entry",
             )
             .default_value("0"),
         )
 }
 
-/// Carries it out.
 pub async fn exec(args: &ArgMatches) -> CommandResult {
     let client = cli::client(args)?;
     let request = request(args)?;
     let mut key = match args.get_one::<String>("key") {
         Some(text) => SubmissionKey {
             text: text.clone(),
-            fresh: false,
+            newly_minted: false,
         },
         None => job::mint_key(&client).await?,
     };
@@ -72,7 +73,7 @@
         let client = client.rotated(round as usize);
         let answer = job::submit(&client, &key, &request).await?;
         output::json(&answer);
-        key.fresh = false;
+        key.newly_minted = false;
     }
     Ok(ExitStatus::Ok)
 }
@@ -97,7 +98,7 @@
 fn from_options(args: &ArgMatches) -> Result<JobRequest, OpsError> {
     let payload: Value =
         serde_json::from_str(cli::get_text(args, "payload")).map_err(|error| OpsError::Usage {
-            message: format!("--payload is no JSON: {error}"),
+            message: format!("--payload is not valid JSON: {error}"),
         })?;
     let task = TaskRequest {
         payload,
--- a/src/bin/trefoilctl/main.rs
+++ b/src/bin/trefoilctl/main.rs
@@ -1,4 +1,4 @@
-//! `trefoilctl`: the command line for operators and callers of trefoilbay.
+//! The command-line client for operators and callers of trefoilbay.
 
 mod cli;
 mod commands;
--- a/src/bin/trefoilctl/output.rs
+++ b/src/bin/trefoilctl/output.rs
@@ -1,4 +1,4 @@
-//! Lines to the terminal. A closed pipe ends the output, not the command.
+//! Output to the terminal. Write errors, such as a closed pipe, are ignored.
 
 use std::error::Error;
 use std::fmt::Display;
@@ -7,22 +7,22 @@
 use serde::Serialize;
 use trefoilbay::ops::error::OpsError;
 
-/// A line of result.
+/// Prints a line of the result to standard output.
 pub fn line(text: impl Display) {
     let _ = writeln!(io::stdout(), "{text}");
 }
 
-/// A line about progress, apart from results.
+/// Prints a line of progress or diagnostics to standard error.
 pub fn note(text: impl Display) {
     let _ = writeln!(io::stderr(), "{text}");
 }
 
-/// A value as JSON.
+/// Prints a value as JSON to standard output.
 pub fn json(value: &impl Serialize) {
     line(serde_json::to_string_pretty(value).unwrap_or_default());
 }
 
-/// An error with its causes and a hint.
+/// Prints an error with its causes and its hint.
 pub fn error(error: &OpsError) {
     note(format_args!("error: {error}"));
     let mut cause = error.source();
--- a/src/bin/trefoilctl/table.rs
+++ b/src/bin/trefoilctl/table.rs
@@ -1,28 +1,24 @@
-//! Text in aligned columns.
+//! Tables with aligned columns.
 
-/// Blanks between two columns.
-const GAP: &str = "  ";
+const COLUMN_SEPARATOR: &str = "  ";
 
-/// A table with a heading.
 pub struct Table {
     rows: Vec<Vec<String>>,
 }
 
 impl Table {
-    /// A table with this heading and no rows.
-    pub fn new(heading: Vec<&str>) -> Self {
-        let heading = heading.into_iter().map(str::to_owned).collect();
+    pub fn new(headings: Vec<&str>) -> Self {
+        let headings = headings.into_iter().map(str::to_owned).collect();
         Self {
-            rows: vec![heading],
+            rows: vec![headings],
         }
     }
 
-    /// Adds a row, with a cell for each column.
-    pub fn row(&mut self, cells: Vec<String>) {
+    /// Appends a row, which has a cell for each column.
+    pub fn add_row(&mut self, cells: Vec<String>) {
         self.rows.push(cells);
     }
 
-    /// Prints it.
     pub fn print(&self) {
         let widths = self.widths();
         for row in &self.rows {
@@ -31,7 +27,7 @@
                 .zip(&widths)
                 .map(|(cell, &width)| format!("{cell:width$}"))
                 .collect::<Vec<_>>();
-            crate::output::line(cells.join(GAP).trim_end());
+            crate::output::line(cells.join(COLUMN_SEPARATOR).trim_end());
         }
     }
 
--- a/src/bin/trefoild/cli.rs
+++ b/src/bin/trefoild/cli.rs
@@ -1,4 +1,4 @@
-//! The command line of the daemon.
+//! The daemon's command line.
 
 use std::error::Error;
 use std::path::PathBuf;
@@ -11,33 +11,33 @@
 use trefoilbay::util::settings::{self, Settings};
 use trefoilbay::util::telemetry::Telemetry;
 
-const EXIT_FAILED: u8 = 1;
+const EXIT_FAILURE: u8 = 1;
 const EXIT_AT_ONCE: u8 = 3;
 const EXIT_BUDGET_SPENT: u8 = 4;
 
 fn command() -> Command {
     Command::new("trefoild")
         .version(clap::crate_version!())
-        .about("One instance of trefoilbay")
+        .about("Runs an instance of trefoilbay")
         .arg(
             Arg::new("settings")
                 .long("settings")
                 .value_name("FILE")
                 .value_parser(value_parser!(PathBuf))
-                .help("Settings in JSON; without it the defaults hold"),
+                .help("JSON file with settings; defaults apply without it"),
         )
         .arg(
             Arg::new("set")
                 .long("set")
                 .value_name("PATH=VALUE")
                 .action(ArgAction::Append)
-                .help("Overrides one setting by its dotted path"),
+                .help("Overrides a setting by its dotted path; can be repeated"),
         )
         .arg(
             Arg::new("check")
                 .long("check")
                 .action(ArgAction::SetTrue)
-                .help("Checks the settings and exits with 0 or 1"),
+                .help("Validates the settings and exits with 0 or 1"),
         )
         .arg(
             Arg::new("print-defaults")
@@ -47,14 +47,14 @@
         )
 }
 
-/// Does what the command line asks for.
+/// Runs the daemon, or the action that the command line asks for.
 pub fn run() -> ExitCode {
     let matches = command().get_matches();
     match dispatch(&matches) {
         Ok(code) => code,
         Err(error) => {
             eprintln!("trefoild: {error}");
-            ExitCode::from(EXIT_FAILED)
+            ExitCode::from(EXIT_FAILURE)
         }
     }
 }
@@ -66,7 +66,7 @@
     }
     let settings = load(matches)?;
     if matches.get_flag("check") {
-        println!("settings are fine");
+        println!("settings are valid");
         return Ok(ExitCode::SUCCESS);
     }
     serve(settings)
@@ -86,8 +86,8 @@
     let runtime = tokio::runtime::Builder::new_multi_thread()
         .enable_all()
         .build()?;
-    // Dropped last, so that the lines of the stop are written.
-    let (log, _lines_written) = log::root(&settings);
+    // Dropped last, which flushes the log records of the shutdown.
+    let (log, _flush_guard) = log::root(&settings);
     let ending = runtime.block_on(start(settings, log))?;
     runtime.shutdown_background();
     Ok(match ending {
--- a/src/bin/trefoild/main.rs
+++ b/src/bin/trefoild/main.rs
@@ -1,4 +1,4 @@
-//! The daemon: one instance of trefoilbay.
+//! The daemon that runs an instance of trefoilbay.
 
 mod cli;
 
--- a/src/ops.rs
+++ b/src/ops.rs
@@ -1,14 +1,14 @@
-//! What the subcommands of `trefoilctl` do, apart from parsing and printing.
+//! The operations behind the subcommands of `trefoilctl`, without parsing and printing.
 //!
-//! * [`client`]: requests to the entry instances, and when they may be resent.
-//! * [`error`]: what can go wrong, with hints and exit codes.
-//! * [`declare`]: resource files, read and checked.
+//! * [`client`]: requests to entry instances, with failover between them.
+//! * [`error`]: errors, with hints and exit statuses.
+//! * [`declare`]: reads and validates resource files.
 //! * [`resources`]: the resource API.
-//! * [`apply`]: plan and apply declarations.
-//! * [`diff`]: what applying would change.
-//! * [`rollout`]: whether a revision is in force at each instance.
-//! * [`job`]: submit, watch and cancel jobs.
-//! * [`drain`]: the planned stop of an instance.
+//! * [`apply`]: plans and applies declarations.
+//! * [`diff`]: the diff of a plan.
+//! * [`rollout`]: which revision is in force at each instance.
+//! * [`job`]: submits, queries and cancels jobs.
+//! * [`drain`]: drains an instance.
 
 pub mod apply;
 pub mod client;
--- a/src/ops/apply.rs
+++ b/src/ops/apply.rs
@@ -1,53 +1,53 @@
-//! Plan and apply declarations.
+//! Plans and applies declarations.
 //!
-//! A plan compares the declarations with what is live; each change then
-//! carries the revision that it was planned against, so that a change that
-//! another operator made in between is never overwritten.
+//! A plan compares declarations with the live resources. Each change is conditional on
+//! the revision it was planned against, so that it never overwrites a concurrent change
+//! by another operator.
 
 use derive_more::Display;
 use serde_json::Value;
 use trefoil_schema::resources::{Kind, Resource, StoredResource};
 
 use super::client::Client;
-use super::declare::complete_spec;
+use super::declare::spec_with_defaults;
 use super::error::OpsError;
 use super::resources::{self, Precondition};
 
-/// What applying does to one resource.
+/// The change that a declaration makes to a resource.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq)]
 pub enum Change {
-    /// It is not there yet.
+    /// The resource does not exist.
     #[display("create")]
     Create,
-    /// It is there with another declaration.
+    /// The live declaration differs.
     #[display("update")]
     Update,
-    /// It is there as declared.
+    /// The live declaration is the same.
     #[display("unchanged")]
     Unchanged,
 }
 
-/// One resource of a plan.
+/// The planned change of one resource.
 #[derive(Clone, Debug)]
 pub struct Step {
-    /// What is declared.
+    /// The declaration to apply.
     pub resource: Resource,
-    /// What is live.
+    /// The live resource, if it exists.
     pub live: Option<StoredResource>,
-    /// What applying does.
+    /// The change from `live` to `resource`.
     pub change: Change,
 }
 
-/// What became of a step.
+/// The result of an applied step.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Applied {
     /// Store revision of the declaration; 0 after a dry run of a new resource.
     pub revision: u64,
-    /// Whether the answer was lost and the outcome read back.
+    /// Whether the response was lost and the change confirmed by a read.
     pub read_back: bool,
 }
 
-/// Compares declarations, in their order, with what is live.
+/// Compares declarations with the live resources. Steps keep the declarations' order.
 pub async fn plan(client: &Client, resources: Vec<Resource>) -> Result<Vec<Step>, OpsError> {
     let mut live = Vec::new();
     for kind in [Kind::Team, Kind::Service, Kind::BackendServer] {
@@ -61,7 +61,7 @@
         .collect())
 }
 
-/// Carries out one step, or has an instance check it when `dry_run`.
+/// Applies a step. With `dry_run`, the instance only validates it.
 pub async fn apply(client: &Client, step: &Step, dry_run: bool) -> Result<Applied, OpsError> {
     let precondition = match (&step.live, step.change) {
         (Some(live), Change::Unchanged) if resources::is_current(live) => {
@@ -78,20 +78,22 @@
             revision: stored.status.revision,
             read_back: false,
         }),
-        Err(lost @ OpsError::Lost { .. }) if !dry_run => read_back(client, step, lost).await,
+        Err(lost @ OpsError::ResponseLost { .. }) if !dry_run => {
+            read_back(client, step, lost).await
+        }
         Err(error) => Err(error),
     }
 }
 
-/// Whether a live resource is as declared, defaults written out.
-pub fn same(resource: &Resource, live: &StoredResource) -> bool {
-    let declared = completed(resource.kind, &resource.spec);
-    declared == completed(live.kind, &live.spec) && resource.labels == live.labels
+/// Whether a live resource equals the declaration, once defaults are filled in.
+pub fn matches_live(resource: &Resource, live: &StoredResource) -> bool {
+    let declared = display_spec(resource.kind, &resource.spec);
+    declared == display_spec(live.kind, &live.spec) && resource.labels == live.labels
 }
 
-/// A spec with its defaults written out, or as it is where it has another form.
-pub fn completed(kind: Kind, spec: &Value) -> Value {
-    complete_spec(kind, spec).unwrap_or_else(|_| spec.clone())
+/// Returns a spec with its defaults filled in, or unchanged if it is invalid.
+pub fn display_spec(kind: Kind, spec: &Value) -> Value {
+    spec_with_defaults(kind, spec).unwrap_or_else(|_| spec.clone())
 }
 
 fn step(resource: Resource, live: &[StoredResource]) -> Step {
@@ -101,7 +103,7 @@
         .cloned();
     let change = match &live {
         None => Change::Create,
-        Some(live) if same(&resource, live) => Change::Unchanged,
+        Some(live) if matches_live(&resource, live) => Change::Unchanged,
         Some(_) => Change::Update,
     };
     Step {
@@ -111,12 +113,12 @@
     }
 }
 
-/// Settles a lost answer: if the declaration is live, it took effect; if not,
-/// it may still do so, and the error stands.
+/// Resolves a lost response: if the declaration is live, it took effect. Otherwise it may
+/// still take effect later, so the error is returned.
 async fn read_back(client: &Client, step: &Step, lost: OpsError) -> Result<Applied, OpsError> {
     let found = resources::find(client, step.resource.kind, &step.resource.name).await;
     match found {
-        Ok(Some(live)) if same(&step.resource, &live) => Ok(Applied {
+        Ok(Some(live)) if matches_live(&step.resource, &live) => Ok(Applied {
             revision: live.status.revision,
             read_back: true,
         }),
--- a/src/ops/client.rs
+++ b/src/ops/client.rs
@@ -1,8 +1,8 @@
-//! Requests to the entry instances.
+//! HTTP client for the entry instances.
 //!
-//! A request goes to the first entry that can be connected. Once it may have
-//! been sent, it goes to another entry only if that cannot do harm: reads, and
-//! submissions that carry an idempotency key.
+//! A request goes to the first entry that accepts a connection. Once it may have been
+//! sent, it is retried at another entry only if it is idempotent: a read, or a
+//! submission with an idempotency key.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -18,17 +18,16 @@
 use tokio::task::JoinSet;
 use trefoil_schema::api;
 
-use super::error::{CallError, OpsError, Refusal};
+use super::error::{OpsError, Refusal, TransportError};
 
-/// Longest time to make a connection.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(1000);
 
 /// Settings of a [`Client`].
 #[derive(Clone, Debug)]
 pub struct ClientSettings {
-    /// Instances to ask, IP:PORT, in the order of preference.
+    /// Addresses of entry instances, IP:PORT, in order of preference.
     pub entries: Vec<String>,
-    /// Longest time to wait for an answer, in milliseconds.
+    /// Timeout of each request, in milliseconds.
     pub timeout_ms: u64,
 }
 
@@ -41,96 +40,96 @@
     }
 }
 
-/// Whether a request that may have been sent may be sent again.
+/// Whether a request may be retried after it may have been sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Resend {
-    /// Sending it twice has the effect of sending it once.
-    Harmless,
-    /// Its effect may depend on how often it is sent.
+pub enum Retry {
+    /// The request is idempotent.
+    Safe,
+    /// A repeated request could take effect twice.
     Never,
 }
 
-/// A request, before an entry is chosen for it.
+/// A request to the HTTP API, independent of the entry it is sent to.
 #[derive(Clone, Debug)]
-pub struct Call {
+pub struct ApiRequest {
     method: Method,
     path: String,
     headers: Vec<(HeaderName, HeaderValue)>,
     body: Bytes,
-    resend: Resend,
-    changes: bool,
+    retry: Retry,
+    has_effects: bool,
     first_request: bool,
     timeout_ms: Option<u64>,
 }
 
-impl Call {
-    /// A request for `path`; reads are harmless to resend, others are not.
+impl ApiRequest {
+    /// Creates a request. By default, only a `GET` is read-only and may be retried.
     pub fn new(method: Method, path: impl Into<String>) -> Self {
-        let changes = method != Method::GET;
-        let resend = if changes {
-            Resend::Never
+        let has_effects = method != Method::GET;
+        let retry = if has_effects {
+            Retry::Never
         } else {
-            Resend::Harmless
+            Retry::Safe
         };
         Self {
             method,
             path: path.into(),
             headers: Vec::new(),
             body: Bytes::new(),
-            resend,
-            changes,
+            retry,
+            has_effects,
             first_request: false,
             timeout_ms: None,
         }
     }
 
-    /// Says that it changes nothing and starts no task.
+    /// Marks the request as one that changes no state and starts no task.
     #[must_use]
-    pub fn changes_nothing(mut self) -> Self {
-        self.changes = false;
-        self.resend_harmless()
+    pub fn read_only(mut self) -> Self {
+        self.has_effects = false;
+        self.idempotent()
     }
 
-    /// Adds a header.
+    /// Appends a header.
     #[must_use]
     pub fn header(mut self, name: HeaderName, value: HeaderValue) -> Self {
         self.headers.push((name, value));
         self
     }
 
-    /// Sets a JSON body.
+    /// Sets a JSON body and its content type.
     #[must_use]
     pub fn json(mut self, body: &impl serde::Serialize) -> Self {
         self.body = serde_json::to_vec(body).unwrap_or_default().into();
         self.header(CONTENT_TYPE, HeaderValue::from_static("application/json"))
     }
 
-    /// Says that sending it twice has the effect of sending it once.
+    /// Marks the request as safe to retry.
     #[must_use]
-    pub fn resend_harmless(mut self) -> Self {
-        self.resend = Resend::Harmless;
+    pub fn idempotent(mut self) -> Self {
+        self.retry = Retry::Safe;
         self
     }
 
-    /// Says that no request was made before under its idempotency key.
+    /// Marks the request as the first one with its idempotency key.
     #[must_use]
     pub fn first_request(mut self) -> Self {
         self.first_request = true;
         self
     }
 
-    /// Waits at most this long, in milliseconds, in place of the client's setting.
+    /// Overrides the client's timeout, in milliseconds.
     #[must_use]
     pub fn timeout_ms(mut self, timeout_ms: u64) -> Self {
         self.timeout_ms = Some(timeout_ms);
         self
     }
 
-    fn title(&self) -> String {
+    fn method_and_path(&self) -> String {
         format!("{} {}", self.method, self.path)
     }
 
-    fn request(&self, entry: &str) -> Result<Request<Full<Bytes>>, hyper::http::Error> {
+    fn to_http(&self, entry: &str) -> Result<Request<Full<Bytes>>, hyper::http::Error> {
         let mut request = Request::builder()
             .method(self.method.clone())
             .uri(format!("http://{entry}{}", self.path))
@@ -140,22 +139,22 @@
     }
 }
 
-/// An answer, whatever its status.
+/// A response, whether success or error.
 #[derive(Clone, Debug)]
-pub struct Answer {
+pub struct ApiResponse {
     request: String,
-    changes: bool,
+    has_effects: bool,
     first_request: bool,
-    /// Status of the answer.
+    /// HTTP status code.
     pub status: StatusCode,
-    /// Its `ETag`, as sent.
+    /// The `ETag` header, unparsed.
     pub etag: Option<String>,
     body: Bytes,
 }
 
-impl Answer {
-    /// The answer, or the problem that it is.
-    pub fn accept(self) -> Result<Self, OpsError> {
+impl ApiResponse {
+    /// Turns an error status into an error with the problem details of the body.
+    pub fn error_for_status(self) -> Result<Self, OpsError> {
         if self.status.is_success() {
             return Ok(self);
         }
@@ -169,18 +168,18 @@
         })
     }
 
-    /// The body, read as `T`.
+    /// Deserializes the body.
     pub fn decode<T: DeserializeOwned>(&self) -> Result<T, OpsError> {
-        serde_json::from_slice(&self.body).map_err(|source| OpsError::Unexpected {
+        serde_json::from_slice(&self.body).map_err(|source| OpsError::UnexpectedResponse {
             request: self.request.clone(),
-            changes: self.changes,
+            has_effects: self.has_effects,
             status: self.status,
             source,
         })
     }
 }
 
-/// A client of the deployment's entry instances.
+/// A client of a deployment's entry instances.
 #[derive(Clone, Debug)]
 pub struct Client {
     entries: Arc<[String]>,
@@ -189,7 +188,7 @@
 }
 
 impl Client {
-    /// A client; refuses a list of entries that is empty or has no IP:PORT.
+    /// Creates a client. Fails if there are no entries or one is not an IP:PORT.
     pub fn new(settings: ClientSettings) -> Result<Self, OpsError> {
         let entries = settings
             .entries
@@ -198,13 +197,13 @@
             .collect::<Result<Vec<_>, _>>()?;
         if entries.is_empty() {
             return Err(OpsError::Usage {
-                message: "no entry is named".to_owned(),
+                message: "no entry instances given".to_owned(),
             });
         }
         let mut connector = HttpConnector::new();
         connector.set_connect_timeout(Some(CONNECT_TIMEOUT));
-        // A connection for each request: a kept one may close under a request,
-        // and then it is unknown whether the request was read.
+        // No connection reuse: if a pooled connection closes during a request, it is
+        // unknown whether the server read the request.
         let http = legacy::Client::builder(TokioExecutor::new())
             .pool_max_idle_per_host(0)
             .retry_canceled_requests(false)
@@ -216,12 +215,12 @@
         })
     }
 
-    /// The entries, in the order of preference.
+    /// Addresses of the entries, in order of preference.
     pub fn entries(&self) -> &[String] {
         &self.entries
     }
 
-    /// The same client that prefers the entry `offset` places further on.
+    /// Returns a client whose list of entries is rotated left by `offset`.
     #[must_use]
     pub fn rotated(&self, offset: usize) -> Self {
         let mut entries = self.entries.to_vec();
@@ -233,110 +232,129 @@
         }
     }
 
-    /// The same client, for one entry alone.
-    pub fn only(&self, entry: &str) -> Result<Self, OpsError> {
+    /// Returns a client with the same settings for a single entry.
+    pub fn for_entry(&self, entry: &str) -> Result<Self, OpsError> {
         Ok(Self {
             entries: vec![parse_entry(entry)?].into(),
             ..self.clone()
         })
     }
 
-    /// Sends a request to the first entry that takes it; any status is an answer.
-    pub async fn send(&self, call: &Call) -> Result<Answer, OpsError> {
+    /// Sends a request to the first entry that responds, with any status.
+    pub async fn send(&self, request: &ApiRequest) -> Result<ApiResponse, OpsError> {
         let mut lost = None;
-        let mut unconnected = None;
+        let mut not_sent = None;
         for entry in self.entries.iter() {
-            match self.send_to(entry, call).await {
-                Ok(mut answer) => {
-                    answer.first_request = call.first_request && lost.is_none();
-                    return Ok(answer);
+            match self.send_to(entry, request).await {
+                Ok(mut response) => {
+                    response.first_request = request.first_request && lost.is_none();
+                    return Ok(response);
                 }
-                Err(error @ CallError::NotSent { .. }) => unconnected = Some(error),
+                Err(error @ TransportError::NotSent { .. }) => not_sent = Some(error),
                 Err(error) => {
                     lost = Some(error);
-                    if call.resend == Resend::Never {
+                    if request.retry == Retry::Never {
                         break;
                     }
                 }
             }
         }
-        match lost.or(unconnected) {
-            Some(error) => Err(self.unanswered(call, error)),
+        match lost.or(not_sent) {
+            Some(error) => Err(self.transport_error(request, error)),
             None => Err(OpsError::Usage {
-                message: "no entry is named".to_owned(),
+                message: "no entry instances given".to_owned(),
             }),
         }
     }
 
-    /// The failure of a request that no entry answered.
-    pub fn unanswered(&self, call: &Call, error: CallError) -> OpsError {
+    /// The error of a request to which no entry responded.
+    pub fn transport_error(&self, request: &ApiRequest, error: TransportError) -> OpsError {
         match &error {
-            CallError::NotSent { .. } => OpsError::Connect {
+            TransportError::NotSent { .. } => OpsError::Connect {
                 entries: self.entries.join(", "),
                 source: error,
             },
-            CallError::Broken { entry, .. } | CallError::TimedOut { entry, .. } => OpsError::Lost {
-                request: call.title(),
-                entry: entry.clone(),
-                changes: call.changes,
-                source: error,
-            },
+            TransportError::Disconnected { entry, .. } | TransportError::TimedOut { entry, .. } => {
+                OpsError::ResponseLost {
+                    request: request.method_and_path(),
+                    entry: entry.clone(),
+                    has_effects: request.has_effects,
+                    source: error,
+                }
+            }
         }
     }
 
-    /// Sends a request to every entry at once; answers in the entries' order.
-    pub async fn send_all(&self, call: &Call) -> Vec<(String, Result<Answer, CallError>)> {
-        let mut calls = JoinSet::new();
+    /// Sends a request to all entries concurrently. Responses are in the entries' order.
+    pub async fn send_all(
+        &self,
+        request: &ApiRequest,
+    ) -> Vec<(String, Result<ApiResponse, TransportError>)> {
+        let mut requests = JoinSet::new();
         for (index, entry) in self.entries.iter().cloned().enumerate() {
             let client = self.clone();
-            let call = call.clone();
-            calls.spawn(async move {
-                let answer = client.send_to(&entry, &call).await;
-                (index, entry, answer)
+            let request = request.clone();
+            requests.spawn(async move {
+                let response = client.send_to(&entry, &request).await;
+                (index, entry, response)
             });
         }
-        let mut answers = calls.join_all().await;
-        answers.sort_by_key(|(index, _, _)| *index);
-        answers
+        let mut responses = requests.join_all().await;
+        responses.sort_by_key(|(index, _, _)| *index);
+        responses
             .into_iter()
-            .map(|(_, entry, answer)| (entry, answer))
+            .map(|(_, entry, response)| (entry, response))
             .collect()
     }
 
-    async fn send_to(&self, entry: &str, call: &Call) -> Result<Answer, CallError> {
-        let timeout_ms = call.timeout_ms.unwrap_or(self.timeout_ms);
-        let exchange = self.exchange(entry, call);
+    async fn send_to(
+        &self,
+        entry: &str,
+        request: &ApiRequest,
+    ) -> Result<ApiResponse, TransportError> {
+        let timeout_ms = request.timeout_ms.unwrap_or(self.timeout_ms);
+        let exchange = self.exchange(entry, request);
         tokio::time::timeout(Duration::from_millis(timeout_ms), exchange)
             .await
             .unwrap_or_else(|_| {
-                Err(CallError::TimedOut {
+                Err(TransportError::TimedOut {
                     entry: entry.to_owned(),
                     timeout_ms,
                 })
             })
     }
 
-    async fn exchange(&self, entry: &str, call: &Call) -> Result<Answer, CallError> {
-        let broken = |source: Box<dyn std::error::Error + Send + Sync>| CallError::Broken {
-            entry: entry.to_owned(),
-            source,
-        };
-        let request = call.request(entry).map_err(|error| broken(error.into()))?;
-        let response = self.http.request(request).await.map_err(|source| {
+    async fn exchange(
+        &self,
+        entry: &str,
+        request: &ApiRequest,
+    ) -> Result<ApiResponse, TransportError> {
+        let disconnected =
+            |source: Box<dyn std::error::Error + Send + Sync>| TransportError::Disconnected {
+                entry: entry.to_owned(),
+                source,
+            };
+        let http_request = request
+            .to_http(entry)
+            .map_err(|error| disconnected(error.into()))?;
+        let response = self.http.request(http_request).await.map_err(|source| {
             if source.is_connect() {
-                CallError::NotSent {
+                TransportError::NotSent {
                     entry: entry.to_owned(),
                     source: source.into(),
                 }
             } else {
-                broken(source.into())
+                disconnected(source.into())
             }
         })?;
         let (head, body) = response.into_parts();
-        let body = body.collect().await.map_err(|error| broken(error.into()))?;
-        Ok(Answer {
-            request: call.title(),
-            changes: call.changes,
+        let body = body
+            .collect()
+            .await
+            .map_err(|error| disconnected(error.into()))?;
+        Ok(ApiResponse {
+            request: request.method_and_path(),
+            has_effects: request.has_effects,
             first_request: false,
             status: head.status,
             etag: header_text(head.headers.get(ETAG)),
@@ -349,7 +367,7 @@
     value?.to_str().ok().map(str::to_owned)
 }
 
-/// Reads IP:PORT, with or without `http://` before it.
+/// Parses IP:PORT with an optional `http://` prefix and trailing slash.
 fn parse_entry(text: &str) -> Result<String, OpsError> {
     let address = text.trim();
     let address = address.strip_prefix("http://").unwrap_or(address);
--- a/src/ops/declare.rs
+++ b/src/ops/declare.rs
@@ -1,4 +1,4 @@
-//! Resource files, read and checked against the schema's form.
+//! Reads resource files and validates them against the schema.
 
 use std::collections::HashSet;
 use std::fs;
@@ -10,10 +10,12 @@
 use trefoil_core::config::validation::validate;
 use trefoil_schema::resources::{BackendServerSpec, Kind, Resource, ServiceSpec, TeamSpec};
 
-use super::error::{FormError, OpsError, WrongField};
+use super::error::{InvalidField, OpsError, ValidationError};
 
-/// Reads files, and the `.json` files directly in directories, in the order in
-/// which resources are applied: teams, services, backend servers.
+/// Reads resource files. A directory stands for the `.json` files directly in it.
+///
+/// Resources are returned in the order in which they are applied: teams, services, backend
+/// servers.
 pub fn load(paths: &[PathBuf]) -> Result<Vec<Resource>, OpsError> {
     let mut resources = Vec::new();
     let mut seen = HashSet::new();
@@ -21,11 +23,11 @@
     for file in files.collect::<Result<Vec<_>, _>>()?.into_iter().flatten() {
         for resource in read_file(&file)? {
             if !seen.insert((resource.kind, resource.name.clone())) {
-                let source = FormError::Twice {
+                let source = ValidationError::Duplicate {
                     kind: resource.kind.to_string(),
                     name: resource.name,
                 };
-                return Err(OpsError::Form { path: file, source });
+                return Err(OpsError::InvalidFile { path: file, source });
             }
             resources.push(resource);
         }
@@ -34,26 +36,26 @@
     Ok(resources)
 }
 
-/// Reads any JSON file as `T`.
+/// Reads and deserializes a JSON file.
 pub fn read_json<T: DeserializeOwned>(path: &Path) -> Result<T, OpsError> {
     let text = read(path)?;
-    parse(&text).map_err(|source| OpsError::Form {
+    parse(&text).map_err(|source| OpsError::InvalidFile {
         path: path.to_owned(),
         source,
     })
 }
 
-/// The spec with every default written out; refuses a spec of the wrong form.
-pub fn complete_spec(kind: Kind, spec: &Value) -> Result<Value, FormError> {
+/// Returns the spec with its defaults filled in.
+pub fn spec_with_defaults(kind: Kind, spec: &Value) -> Result<Value, ValidationError> {
     match kind {
-        Kind::Team => complete::<TeamSpec>(spec),
-        Kind::Service => complete::<ServiceSpec>(spec),
-        Kind::BackendServer => complete::<BackendServerSpec>(spec),
+        Kind::Team => fill_defaults::<TeamSpec>(spec),
+        Kind::Service => fill_defaults::<ServiceSpec>(spec),
+        Kind::BackendServer => fill_defaults::<BackendServerSpec>(spec),
     }
 }
 
 fn files(path: &Path) -> Result<Vec<PathBuf>, OpsError> {
-    let failed = |source| OpsError::Read {
+    let read_error = |source| OpsError::Read {
         path: path.to_owned(),
         source,
     };
@@ -61,8 +63,8 @@
         return Ok(vec![path.to_owned()]);
     }
     let mut files = Vec::new();
-    for entry in fs::read_dir(path).map_err(failed)? {
-        let file = entry.map_err(failed)?.path();
+    for entry in fs::read_dir(path).map_err(read_error)? {
+        let file = entry.map_err(read_error)?.path();
         if file.is_file()
             && file
                 .extension()
@@ -89,65 +91,65 @@
 
 fn read_file(path: &Path) -> Result<Vec<Resource>, OpsError> {
     let text = read(path)?;
-    parse_resources(&text).map_err(|source| OpsError::Form {
+    parse_resources(&text).map_err(|source| OpsError::InvalidFile {
         path: path.to_owned(),
         source,
     })
 }
 
-/// Reads one resource or an array of them, and finds every wrong field.
-pub fn parse_resources(text: &str) -> Result<Vec<Resource>, FormError> {
+/// Parses one resource or an array of them. An error lists all invalid fields.
+pub fn parse_resources(text: &str) -> Result<Vec<Resource>, ValidationError> {
     let declared = match parse(text)? {
         Value::Array(declared) => declared,
         single => vec![single],
     };
     let mut resources = Vec::new();
-    let mut wrong = Vec::new();
+    let mut invalid = Vec::new();
     for (position, declared) in declared.iter().enumerate() {
         match validate(declared) {
             Ok(resource) => resources.push(resource),
             Err(errors) => {
-                let title = title(position, declared);
-                wrong.extend(errors.into_iter().map(|error| WrongField {
-                    resource: title.clone(),
+                let label = resource_label(position, declared);
+                invalid.extend(errors.into_iter().map(|error| InvalidField {
+                    resource: label.clone(),
                     error,
                 }));
             }
         }
     }
-    if wrong.is_empty() {
+    if invalid.is_empty() {
         return Ok(resources);
     }
-    Err(FormError::Fields { wrong })
+    Err(ValidationError::InvalidFields { invalid })
 }
 
-fn parse<T: DeserializeOwned>(text: &str) -> Result<T, FormError> {
+fn parse<T: DeserializeOwned>(text: &str) -> Result<T, ValidationError> {
     let mut reader = serde_json::Deserializer::from_str(text);
     let value = serde_path_to_error::deserialize(&mut reader).map_err(json_error)?;
-    reader.end().map_err(|source| FormError::Json {
+    reader.end().map_err(|source| ValidationError::Json {
         at: "after the end".to_owned(),
         source,
     })?;
     Ok(value)
 }
 
-fn complete<T: DeserializeOwned + Serialize>(spec: &Value) -> Result<Value, FormError> {
+fn fill_defaults<T: DeserializeOwned + Serialize>(spec: &Value) -> Result<Value, ValidationError> {
     let typed: T = serde_path_to_error::deserialize(spec).map_err(json_error)?;
-    serde_json::to_value(typed).map_err(|source| FormError::Json {
+    serde_json::to_value(typed).map_err(|source| ValidationError::Json {
         at: ".".to_owned(),
         source,
     })
 }
 
-fn json_error(error: serde_path_to_error::Error<serde_json::Error>) -> FormError {
-    FormError::Json {
+fn json_error(error: serde_path_to_error::Error<serde_json::Error>) -> ValidationError {
+    ValidationError::Json {
         at: error.path().to_string(),
         source: error.into_inner(),
     }
 }
 
-/// How errors call a declaration whose fields may be wrong.
-fn title(position: usize, declared: &Value) -> String {
+/// Names a declaration in errors; its kind or name may be missing.
+fn resource_label(position: usize, declared: &Value) -> String {
     let text = |field: &str| declared.get(field).and_then(Value::as_str);
     match (text("kind"), text("name")) {
         (Some(kind), Some(name)) => format!("{kind}/{name}"),
--- a/src/ops/drain.rs
+++ b/src/ops/drain.rs
@@ -1,33 +1,34 @@
-//! The planned stop of an instance.
+//! Drains an instance: the planned stop.
 
 use std::time::Duration;
 
 use hyper::Method;
 use tokio::time::Instant;
 
-use super::client::{Call, Client};
+use super::client::{ApiRequest, Client};
 use super::error::OpsError;
 
-/// Pause between two looks at the instance.
 const POLL_INTERVAL: Duration = Duration::from_millis(200);
-/// Longest time to wait for one answer, in milliseconds.
-const LOOK_TIMEOUT_MS: u64 = 2000;
+const POLL_TIMEOUT_MS: u64 = 2000;
 
-/// Tells the instance at `entry` to leave. Leaving twice is leaving once, but
-/// the request goes to no other instance.
+/// Starts draining the instance at `entry`. The request goes to no other instance.
 pub async fn drain(client: &Client, entry: &str) -> Result<(), OpsError> {
-    let call = Call::new(Method::POST, "/v1/drain");
-    client.only(entry)?.send(&call).await?.accept()?;
+    let request = ApiRequest::new(Method::POST, "/v1/drain");
+    client
+        .for_entry(entry)?
+        .send(&request)
+        .await?
+        .error_for_status()?;
     Ok(())
 }
 
-/// Waits until nothing accepts a connection at `entry`.
-pub async fn wait_gone(client: &Client, entry: &str, timeout_ms: u64) -> Result<(), OpsError> {
-    let client = client.only(entry)?;
-    let call = Call::new(Method::GET, "/healthz").timeout_ms(LOOK_TIMEOUT_MS);
-    let until = Instant::now() + Duration::from_millis(timeout_ms);
-    while !matches!(client.send(&call).await, Err(OpsError::Connect { .. })) {
-        if Instant::now() >= until {
+/// Waits until `entry` refuses connections.
+pub async fn wait_stopped(client: &Client, entry: &str, timeout_ms: u64) -> Result<(), OpsError> {
+    let client = client.for_entry(entry)?;
+    let request = ApiRequest::new(Method::GET, "/healthz").timeout_ms(POLL_TIMEOUT_MS);
+    let deadline = Instant::now() + Duration::from_millis(timeout_ms);
+    while !matches!(client.send(&request).await, Err(OpsError::Connect { .. })) {
+        if Instant::now() >= deadline {
             return Err(OpsError::TimedOut {
                 message: format!("{entry} still accepts connections after {timeout_ms} ms"),
             });
--- a/src/ops/error.rs
+++ b/src/ops/error.rs
@@ -1,4 +1,4 @@
-//! What can go wrong in a subcommand, with hints and exit codes.
+//! Errors of subcommands, with hints and exit statuses.
 
 use std::path::PathBuf;
 
@@ -6,13 +6,13 @@
 use hyper::StatusCode;
 use trefoil_schema::api;
 
-/// A failed subcommand.
+/// The error of a failed subcommand.
 #[derive(Debug, Display, Error)]
 pub enum OpsError {
-    /// The command line cannot be carried out as given.
+    /// The command line is invalid.
     #[display("{message}")]
     Usage {
-        /// What is wrong with it.
+        /// Why it is invalid.
         message: String,
     },
     /// A file or directory cannot be read.
@@ -23,89 +23,89 @@
         /// Cause.
         source: std::io::Error,
     },
-    /// A file's content does not have the form that the schema asks for.
+    /// The content of a file does not match the schema.
     #[display("`{}` is not valid", path.display())]
-    Form {
+    InvalidFile {
         /// The file.
         path: PathBuf,
         /// Cause.
-        source: FormError,
+        source: ValidationError,
     },
-    /// No entry could be connected, so nothing was sent.
+    /// No entry accepted a connection, so nothing was sent.
     #[display("could not connect to any entry of {entries}")]
     Connect {
-        /// The entries tried.
+        /// The entries tried, separated by commas.
         entries: String,
-        /// Cause at the last one.
-        source: CallError,
+        /// Cause at the last entry.
+        source: TransportError,
     },
-    /// A request was sent and its answer was lost.
-    #[display("{request} was sent to {entry} and its answer was lost")]
-    Lost {
+    /// A request may have been sent, but no response was received.
+    #[display("{request} was sent to {entry}, but the response was lost")]
+    ResponseLost {
         /// Method and path.
         request: String,
-        /// The entry that has it.
+        /// The entry that may have received it.
         entry: String,
-        /// Whether the request may have changed something or started a task.
-        changes: bool,
+        /// Whether the request may have changed state or started a task.
+        has_effects: bool,
         /// Cause.
-        source: CallError,
+        source: TransportError,
     },
-    /// The answer was a problem.
+    /// The response has an error status.
     #[display("{request} was refused")]
     Refused {
         /// Method and path.
         request: String,
-        /// The answer.
+        /// The problem details of the response.
         source: Refusal,
     },
-    /// The answer does not have the documented form.
-    #[display("{request} got an answer that is not in the API: {status}")]
-    Unexpected {
+    /// The body of the response does not match the schema.
+    #[display("{request} returned an unexpected response: {status}")]
+    UnexpectedResponse {
         /// Method and path.
         request: String,
-        /// Status of the answer.
+        /// HTTP status code.
         status: StatusCode,
-        /// Whether the request may have changed something or started a task.
-        changes: bool,
+        /// Whether the request may have changed state or started a task.
+        has_effects: bool,
         /// Cause.
         source: serde_json::Error,
     },
-    /// The time to wait is over.
+    /// The timeout of a wait has passed.
     #[display("{message}")]
     TimedOut {
-        /// What has not happened, and where.
+        /// What was not reached in time.
         message: String,
     },
-    /// The job is final and failed.
+    /// The job failed or was cancelled.
     #[display("job {} has {}: {}", job.key, job.state, job.detail)]
     JobFailed {
-        /// Its answer.
+        /// The final state of the job.
         #[error(not(source))]
         job: Box<api::JobResponse>,
     },
 }
 
-/// Why a JSON text does not have the form that the schema asks for.
+/// Why a JSON document does not match the schema.
 #[derive(Debug, Display, Error)]
-pub enum FormError {
-    /// No JSON, or a field of the wrong form.
+pub enum ValidationError {
+    /// A syntax error, or a field of the wrong type.
     #[display("at `{at}`")]
     Json {
-        /// Path of the field, dotted.
+        /// Dotted path of the field.
         at: String,
         /// Cause.
         source: serde_json::Error,
     },
-    /// Fields with wrong values.
-    #[display("{} wrong fields{}", wrong.len(), each_on_a_line(wrong))]
-    Fields {
-        /// The fields.
-        wrong: Vec<WrongField>,
+    /// Fields have invalid values.
+    #[display("{} invalid fields{}", invalid.len(), indented_lines(invalid))]
+    InvalidFields {
+        /// The invalid fields, of all resources.
+        invalid: Vec<InvalidField>,
     },
-    /// A resource that is declared twice.
+    /// A resource is declared more than once.
     #[display("{kind} `{name}` is declared twice")]
-    Twice {
+    Duplicate {
         /// Kind of the resource.
         kind: String,
         /// Its name.
@@ -113,113 +113,118 @@
     },
 }
 
-/// A wrong field of one resource.
+/// An invalid field of a resource.
 #[derive(Clone, Debug, Display)]
 #[display("{resource} `{}`: found {}, allowed: {}", error.path, error.found, error.allowed)]
-pub struct WrongField {
+pub struct InvalidField {
     /// The resource, as KIND/NAME.
     pub resource: String,
-    /// The field.
+    /// Path of the field, and the values found and allowed.
     pub error: api::FieldError,
 }
 
-/// Why a request to one entry brought no answer.
+/// Why a request to an entry got no response.
 #[derive(Debug, Display, Error)]
-pub enum CallError {
-    /// The connection was not made, so nothing was sent.
-    #[display("{entry}: no connection")]
+pub enum TransportError {
+    /// The connection failed, so nothing was sent.
+    #[display("{entry}: cannot connect")]
     NotSent {
         /// The entry.
         entry: String,
         /// Cause.
         source: Box<dyn std::error::Error + Send + Sync>,
     },
-    /// The connection broke after the request may have been sent.
-    #[display("{entry}: the connection broke")]
-    Broken {
+    /// The connection was lost after the request may have been sent.
+    #[display("{entry}: connection lost before the response")]
+    Disconnected {
         /// The entry.
         entry: String,
         /// Cause.
         source: Box<dyn std::error::Error + Send + Sync>,
     },
-    /// No answer came in time.
-    #[display("{entry}: no answer within {timeout_ms} ms")]
+    /// The request timed out after it may have been sent.
+    #[display("{entry}: no response within {timeout_ms} ms")]
     TimedOut {
         /// The entry.
         entry: String,
-        /// How long it was waited for.
+        /// The timeout, in milliseconds.
         timeout_ms: u64,
     },
 }
 
-/// A problem as an error.
+/// The problem details of a response, as an error.
 #[derive(Debug, Display, Error)]
 #[display("{}", describe(problem))]
 pub struct Refusal {
-    /// The answer's body.
+    /// The body of the response.
     #[error(not(source))]
     pub problem: Box<api::Problem>,
-    /// Whether the problem answers the only request ever made under its key.
+    /// Whether this was the only request ever made with its idempotency key.
     pub first_request: bool,
 }
 
-/// How `trefoilctl` ends.
+/// Exit status of `trefoilctl`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[repr(u8)]
 pub enum ExitStatus {
-    /// Done.
+    /// Success.
     Ok = 0,
-    /// Failed in another way than those below.
+    /// A failure that no other status describes.
     Failed = 1,
-    /// Wrong arguments or an invalid file.
+    /// Invalid arguments or an invalid file.
     Usage = 2,
-    /// Refused, and nothing ran or took effect.
+    /// The request was refused and took no effect.
     NotRun = 3,
-    /// Some task or change may have taken effect.
+    /// A task may have run or a change may have taken effect.
     MayHaveRun = 4,
-    /// Another change came first, or the key stands for another body.
+    /// A concurrent change came first, or the key was used with another body.
     Conflict = 5,
-    /// The time to wait is over; what was asked for is not complete.
+    /// The wait timed out before its condition was reached.
     TimedOut = 6,
 }
 
 impl OpsError {
-    /// The exit status that stands for this error.
+    /// The exit status for this error.
     pub fn exit_status(&self) -> ExitStatus {
         match self {
-            Self::Usage { .. } | Self::Read { .. } | Self::Form { .. } => ExitStatus::Usage,
+            Self::Usage { .. } | Self::Read { .. } | Self::InvalidFile { .. } => ExitStatus::Usage,
             Self::Connect { .. } => ExitStatus::Failed,
-            Self::Lost { changes, .. } | Self::Unexpected { changes, .. } if *changes => {
+            Self::ResponseLost { has_effects, .. }
+            | Self::UnexpectedResponse { has_effects, .. }
+                if *has_effects =>
+            {
                 ExitStatus::MayHaveRun
             }
-            Self::Lost { .. } | Self::Unexpected { .. } => ExitStatus::Failed,
+            Self::ResponseLost { .. } | Self::UnexpectedResponse { .. } => ExitStatus::Failed,
             Self::Refused { source, .. } => source.exit_status(),
             Self::TimedOut { .. } => ExitStatus::TimedOut,
-            Self::JobFailed { job } => of_verdict(job.verdict),
+            Self::JobFailed { job } => exit_status_for_verdict(job.verdict),
         }
     }
 
-    /// What the person at the terminal can do about it.
+    /// Advice for the user, if there is any.
     pub fn hint(&self) -> Option<&'static str> {
         match self {
             Self::Usage { .. } => Some("see `trefoilctl --help`"),
             Self::Read { .. } => None,
-            Self::Form { .. } => Some("see `trefoilctl schema resources` or `schema api`"),
+            Self::InvalidFile { .. } => Some("see `trefoilctl schema resources` or `schema api`"),
             Self::Connect { .. } => {
-                Some("nothing was sent; name live instances by --entry or TREFOIL_ENTRIES")
+                Some("nothing was sent; set --entry or TREFOIL_ENTRIES to live instances")
             }
-            Self::Lost { changes, .. } if *changes => {
-                Some("it may have taken effect; look, or ask again with the same key")
+            Self::ResponseLost { has_effects, .. } if *has_effects => {
+                Some("it may have taken effect; check its state, or retry with the same key")
+            }
+            Self::ResponseLost { .. } => Some("nothing was changed; retry the request"),
+            Self::UnexpectedResponse { .. } => {
+                Some("check that the entries are trefoild instances")
             }
-            Self::Lost { .. } => Some("nothing was changed; ask again"),
-            Self::Unexpected { .. } => Some("check that the entries are trefoild instances"),
             Self::Refused { source, .. } => source.hint(),
-            Self::TimedOut { .. } => Some("look again with `trefoilctl status`"),
+            Self::TimedOut { .. } => Some("check again with `trefoilctl status`"),
             Self::JobFailed { .. } => None,
         }
     }
 
-    /// The status of the problem, where the answer was one.
+    /// The HTTP status code, if the response had an error status.
     pub fn refused_status(&self) -> Option<u16> {
         match self {
             Self::Refused { source, .. } => Some(source.problem.status),
@@ -232,12 +237,12 @@
     fn exit_status(&self) -> ExitStatus {
         match self.problem.status {
             409 | 412 => ExitStatus::Conflict,
-            _ => of_verdict(self.verdict()),
+            _ => exit_status_for_verdict(self.verdict()),
         }
     }
 
-    /// What is known of the work: where no other request was made under the
-    /// key, what this request alone may have started.
+    /// The verdict that counts: if no other request was made with the key, that of this
+    /// request alone.
     pub fn verdict(&self) -> api::Verdict {
         if self.first_request {
             self.problem.request_verdict
@@ -247,39 +252,42 @@
     }
 
     fn hint(&self) -> Option<&'static str> {
-        self.hint_of_status().or_else(|| self.hint_of_verdict())
+        self.hint_for_status().or_else(|| self.hint_for_verdict())
     }
 
-    fn hint_of_status(&self) -> Option<&'static str> {
+    fn hint_for_status(&self) -> Option<&'static str> {
         match self.problem.status {
             404 => Some("list what is declared with `trefoilctl get KIND`"),
-            409 | 412 => Some("look at what is there now, then decide again"),
-            410 => Some("a key this old starts nothing any more; look for the job's effect"),
+            409 | 412 => Some("check the current state before you retry"),
+            410 => Some("the key has expired and starts no job; check whether the job took effect"),
             _ => None,
         }
     }
 
-    fn hint_of_verdict(&self) -> Option<&'static str> {
+    fn hint_for_verdict(&self) -> Option<&'static str> {
         match self.verdict() {
             api::Verdict::MayHaveRun => {
-                Some("it may have taken effect; look, or ask again with the same key")
+                Some("it may have taken effect; check its state, or retry with the same key")
             }
             api::Verdict::NotRun if self.problem.verdict != api::Verdict::NotRun => {
                 Some("nothing took effect; submit it again under a new key")
             }
             api::Verdict::NotRun if self.problem.retry_after_ms > 0 => {
-                Some("nothing took effect; come back after the time given")
+                Some("nothing took effect; retry after the time given")
             }
             _ => None,
         }
     }
 }
 
-fn each_on_a_line(wrong: &[WrongField]) -> String {
-    wrong.iter().map(|field| format!("\n    {field}")).collect()
+fn indented_lines(invalid: &[InvalidField]) -> String {
+    invalid
+        .iter()
+        .map(|field| format!("\n    {field}"))
+        .collect()
 }
 
-fn of_verdict(verdict: api::Verdict) -> ExitStatus {
+fn exit_status_for_verdict(verdict: api::Verdict) -> ExitStatus {
     match verdict {
         api::Verdict::NotRun => ExitStatus::NotRun,
         api::Verdict::MayHaveRun => ExitStatus::MayHaveRun,
--- a/src/ops/rollout.rs
+++ b/src/ops/rollout.rs
@@ -1,9 +1,9 @@
-//! Whether a revision is in force at each instance.
+//! Tracks which configuration revision is in force at each instance.
 //!
-//! All entries are asked, since an instance that is cut off knows little of the
-//! others. A revision never reverts, so the highest one heard of an instance's
-//! newest start counts. An instance of which nothing is heard and that was last
-//! known with an older revision is unknown, not done.
+//! All entries are queried, because a partitioned instance knows little of the others.
+//! The revision of an incarnation never decreases, so the highest one reported for an
+//! instance's newest incarnation counts. A silent instance that was last known to have an
+//! older revision is unknown.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -13,96 +13,99 @@
 use tokio::time::Instant;
 use trefoil_schema::api::{InstanceStateName, InstanceStatus, StatusResponse};
 
-use super::client::{Answer, Call, Client};
+use super::client::{ApiRequest, ApiResponse, Client};
 use super::error::OpsError;
 
-/// Pause between two looks at the instances.
 const POLL_INTERVAL: Duration = Duration::from_millis(100);
-/// Longest time to wait for one status answer, in milliseconds.
 const STATUS_TIMEOUT_MS: u64 = 2000;
 
-/// The deployment as all entries together see it.
+/// State of the deployment, merged from the status of all entries.
 #[derive(Clone, Debug, Default)]
-pub struct Fleet {
-    /// Instances by name, each with the newest news of it.
+pub struct DeploymentStatus {
+    /// Instances by name, each with its most recent status.
     pub instances: BTreeMap<String, InstanceStatus>,
-    /// Entries that answered.
-    pub entries_answered: usize,
-    /// Entries that did not answer, each with the cause.
-    pub entries_silent: Vec<String>,
-    /// Entries' instances that cannot reach the platform's store.
+    /// Number of entries that responded.
+    pub entries_responded: usize,
+    /// Addresses of the entries that did not respond.
+    pub entries_failed: Vec<String>,
+    /// Names of instances that cannot reach the platform's store.
     pub store_unreachable: Vec<String>,
 }
 
 /// Whether a revision is in force at one instance.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq)]
 pub enum InForce {
-    /// It is.
+    /// The revision or a later one is in force.
     #[display("in force")]
     Yes,
-    /// The instance is heard of and has an older one.
+    /// An older revision is in force.
     #[display("not yet")]
     NotYet,
-    /// Nothing is heard of the instance.
+    /// The instance is silent.
     #[display("unknown")]
     Unknown,
-    /// The instance has ended, so it does not count.
+    /// The instance has ended and does not count.
     #[display("gone")]
     Gone,
 }
 
-/// Asks all entries; an error where none answered.
-pub async fn look(client: &Client) -> Result<Fleet, OpsError> {
-    let call = Call::new(Method::GET, "/v1/status").timeout_ms(STATUS_TIMEOUT_MS);
-    let mut fleet = Fleet::default();
-    let mut failed = None;
-    for (entry, answer) in client.send_all(&call).await {
-        let status = answer
-            .map_err(|error| client.unanswered(&call, error))
-            .and_then(Answer::accept)
-            .and_then(|answer| answer.decode());
+/// Queries all entries; fails if none responds.
+pub async fn fetch_status(client: &Client) -> Result<DeploymentStatus, OpsError> {
+    let request = ApiRequest::new(Method::GET, "/v1/status").timeout_ms(STATUS_TIMEOUT_MS);
+    let mut deployment = DeploymentStatus::default();
+    let mut last_error = None;
+    for (entry, response) in client.send_all(&request).await {
+        let status = response
+            .map_err(|error| client.transport_error(&request, error))
+            .and_then(ApiResponse::error_for_status)
+            .and_then(|response| response.decode());
         match status {
-            Ok(status) => fleet.add(status),
+            Ok(status) => deployment.add(status),
             Err(error) => {
-                fleet.entries_silent.push(entry);
-                failed = Some(error);
+                deployment.entries_failed.push(entry);
+                last_error = Some(error);
             }
         }
     }
-    match failed {
-        Some(error) if fleet.entries_answered == 0 => Err(error),
-        _ => Ok(fleet),
+    match last_error {
+        Some(error) if deployment.entries_responded == 0 => Err(error),
+        _ => Ok(deployment),
     }
 }
 
 /// Waits until `revision` is in force at every instance that is not gone.
 ///
-/// Calls `progress` after each look; names what is missing on timeout.
+/// Calls `progress` after each poll. The error on timeout names the instances that lack
+/// the revision.
 pub async fn wait(
     client: &Client,
     revision: u64,
     timeout_ms: u64,
-    mut progress: impl FnMut(&Fleet),
-) -> Result<Fleet, OpsError> {
-    let until = Instant::now() + Duration::from_millis(timeout_ms);
+    mut progress: impl FnMut(&DeploymentStatus),
+) -> Result<DeploymentStatus, OpsError> {
+    let deadline = Instant::now() + Duration::from_millis(timeout_ms);
     loop {
-        let fleet = look(client).await;
-        if let Ok(fleet) = &fleet {
-            progress(fleet);
-            if fleet.complete(revision) {
-                return Ok(fleet.clone());
+        let deployment = fetch_status(client).await;
+        if let Ok(deployment) = &deployment {
+            progress(deployment);
+            if deployment.is_complete(revision) {
+                return Ok(deployment.clone());
             }
         }
-        if Instant::now() >= until {
-            return Err(timed_out(fleet, revision, timeout_ms));
+        if Instant::now() >= deadline {
+            return Err(timed_out(deployment, revision, timeout_ms));
         }
         tokio::time::sleep(POLL_INTERVAL).await;
     }
 }
 
-fn timed_out(fleet: Result<Fleet, OpsError>, revision: u64, timeout_ms: u64) -> OpsError {
-    let known = match fleet {
-        Ok(fleet) => fleet.describe(revision),
+fn timed_out(
+    deployment: Result<DeploymentStatus, OpsError>,
+    revision: u64,
+    timeout_ms: u64,
+) -> OpsError {
+    let known = match deployment {
+        Ok(deployment) => deployment.describe(revision),
         Err(error) => format!("at unknown instances: {error}"),
     };
     OpsError::TimedOut {
@@ -110,15 +113,15 @@
     }
 }
 
-impl Fleet {
-    /// Takes in what one instance sees.
+impl DeploymentStatus {
+    /// Merges the status that one instance reports.
     pub fn add(&mut self, status: StatusResponse) {
-        self.entries_answered += 1;
+        self.entries_responded += 1;
         if !status.store_reachable {
             self.store_unreachable.push(status.instance.clone());
         }
-        for news in status.instances {
-            self.merge(news);
+        for instance in status.instances {
+            self.merge(instance);
         }
         if let Some(own) = self.instances.get_mut(&status.instance) {
             own.config_revision = own.config_revision.max(status.config_revision);
@@ -139,8 +142,8 @@
         }
     }
 
-    /// Whether `revision` is in force at every instance that is not gone.
-    pub fn complete(&self, revision: u64) -> bool {
+    /// Whether `revision` is in force at every instance that is not gone, and there is one.
+    pub fn is_complete(&self, revision: u64) -> bool {
         let mut counted = self
             .instances
             .values()
@@ -150,38 +153,38 @@
         counted.peek().is_some() && counted.all(|in_force| in_force == InForce::Yes)
     }
 
-    /// Instances that have `revision` in force, and instances that count.
+    /// Number of instances with `revision` in force, and of all that are not gone.
     pub fn counts(&self, revision: u64) -> (usize, usize) {
-        let of = |wanted: InForce| {
+        let count = |wanted: InForce| {
             self.instances
                 .values()
                 .filter(|instance| self.in_force(instance, revision) == wanted)
                 .count()
         };
-        let done = of(InForce::Yes);
-        (done, self.instances.len() - of(InForce::Gone))
+        let done = count(InForce::Yes);
+        (done, self.instances.len() - count(InForce::Gone))
     }
 
-    fn merge(&mut self, news: InstanceStatus) {
-        let Some(known) = self.instances.get_mut(&news.instance) else {
-            self.instances.insert(news.instance.clone(), news);
+    fn merge(&mut self, reported: InstanceStatus) {
+        let Some(known) = self.instances.get_mut(&reported.instance) else {
+            self.instances.insert(reported.instance.clone(), reported);
             return;
         };
-        if news.incarnation < known.incarnation {
+        if reported.incarnation < known.incarnation {
             return;
         }
-        if news.incarnation > known.incarnation {
-            *known = news;
+        if reported.incarnation > known.incarnation {
+            *known = reported;
             return;
         }
-        let config_revision = known.config_revision.max(news.config_revision);
-        if news.heard_ms < known.heard_ms {
-            *known = news;
+        let config_revision = known.config_revision.max(reported.config_revision);
+        if reported.heard_ms < known.heard_ms {
+            *known = reported;
         }
         known.config_revision = config_revision;
     }
 
-    /// Where `revision` is in force, and the instances that lack it.
+    /// Describes where `revision` is in force and which instances lack it.
     fn describe(&self, revision: u64) -> String {
         let missing = self
             .instances
--- a/tests/testsuite/ctl.rs
+++ b/tests/testsuite/ctl.rs
@@ -1,4 +1,4 @@
-//! `trefoilctl` as people run it: output, exit status and requests made.
+//! The `trefoilctl` binary: its output, exit status and requests.
 
 use std::path::PathBuf;
 use std::process::Output;
@@ -16,7 +16,7 @@
 const KEY: &str = "1764691200000-payrun";
 const BLUE_MAHOE: &str = "-f examples/blue-mahoe/backend-servers -f examples/blue-mahoe";
 
-/// Runs `trefoilctl` towards `entries` with the words of `line` as arguments.
+/// Runs `trefoilctl` against `entries` with the words of `line` as arguments.
 async fn run(entries: &[&str], line: &str) -> Output {
     Command::new(env!("CARGO_BIN_EXE_trefoilctl"))
         .current_dir(env!("CARGO_MANIFEST_DIR"))
@@ -28,8 +28,8 @@
         .expect("trefoilctl starts")
 }
 
-/// Exit status, stdout and stderr, with changing addresses replaced.
-fn shown(output: &Output, stub: &ApiStub) -> String {
+/// Formats exit status, stdout and stderr, with the stub's address replaced.
+fn render(output: &Output, stub: &ApiStub) -> String {
     let text = format!(
         "exit {}\n{}--\n{}",
         output.status.code().expect("not killed"),
@@ -41,21 +41,21 @@
 
 async fn check(stub: &ApiStub, line: &str, expected: Expect) {
     let output = run(&[&stub.address], line).await;
-    expected.assert_eq(&shown(&output, stub));
+    expected.assert_eq(&render(&output, stub));
 }
 
 async fn exit_code(entries: &[&str], line: &str) -> i32 {
     run(entries, line).await.status.code().expect("not killed")
 }
 
-fn file(name: &str, text: &str) -> PathBuf {
+fn write_file(name: &str, text: &str) -> PathBuf {
     let path = PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join(name);
     std::fs::write(&path, text).expect("the test directory is writable");
     path
 }
 
-/// An entry that reads a request and closes without an answer.
-async fn rude_entry() -> String {
+/// Starts an entry that closes each connection after reading a request.
+async fn unresponsive_entry() -> String {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a free port");
     let address = listener.local_addr().expect("bound").to_string();
     tokio::spawn(async move {
@@ -67,7 +67,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn apply_creates_in_order_then_changes_nothing() {
+async fn apply_creates_in_order_and_is_then_a_no_op() {
     let stub = ApiStub::start().await;
     check(
         &stub,
@@ -122,12 +122,12 @@
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn diff_shows_the_changed_field_alone() {
+async fn diff_shows_only_the_changed_field() {
     let stub = ApiStub::start().await;
     let before = r#"{"kind":"team","name":"grocers","spec":{"weight":200}}"#;
     let after = r#"{"kind":"team","name":"grocers","spec":{"weight":250,"slots_max":0}}"#;
-    let before = file("diff_before.json", before);
-    let after = file("diff_after.json", after);
+    let before = write_file("diff_before.json", before);
+    let after = write_file("diff_after.json", after);
     let applied = exit_code(
         &[&stub.address],
         &format!("apply --wait -f {}", before.display()),
@@ -210,18 +210,18 @@
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn a_wrong_field_is_named_and_nothing_is_sent() {
+async fn invalid_fields_are_reported_and_nothing_is_sent() {
     let stub = ApiStub::start().await;
     let text =
         r#"{"kind":"service","name":"payrun","spec":{"path":7,"targets":{"response_p99_ms":-1}}}"#;
-    let path = file("wrong_field.json", text);
+    let path = write_file("invalid_field.json", text);
     let output = run(&[&stub.address], &format!("apply -f {}", path.display())).await;
-    let shown = shown(&output, &stub).replace(path.to_str().expect("UTF-8"), "FILE");
+    let shown = render(&output, &stub).replace(path.to_str().expect("UTF-8"), "FILE");
     expect![[r#"
         exit 2
         --
         error: `FILE` is not valid
-          caused by: 2 wrong fields
+          caused by: 2 invalid fields
             service/payrun `spec.targets.response_p99_ms`: found -1, allowed: a whole number from 0 to 18446744073709551615
             service/payrun `spec.path`: found 7, allowed: an absolute path of visible ASCII, such as /run
           hint: see `trefoilctl schema resources` or `schema api`
@@ -231,7 +231,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn a_lost_answer_to_a_declaration_is_read_back_and_not_sent_again() {
+async fn a_lost_response_to_a_declaration_is_resolved_by_a_read_not_a_retry() {
     let stub = ApiStub::start().await;
     stub.set(|state| state.swallow_answers = true);
     let line = "apply --request-timeout-ms 300 -f examples/haugland/teams.json";
@@ -251,11 +251,11 @@
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn a_declaration_that_may_have_been_sent_goes_to_no_other_entry() {
+async fn a_declaration_that_may_have_been_sent_is_not_retried_at_another_entry() {
     let stub = ApiStub::start().await;
-    let rude = rude_entry().await;
+    let unresponsive = unresponsive_entry().await;
     let line = "apply -f examples/haugland/teams.json";
-    assert_eq!(exit_code(&[&rude, &stub.address], line).await, 4);
+    assert_eq!(exit_code(&[&unresponsive, &stub.address], line).await, 4);
     assert!(stub.state.lock().unwrap().changes.is_empty());
 }
 
@@ -284,17 +284,17 @@
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn submit_goes_on_with_the_same_key_after_a_lost_answer() {
+async fn submit_retries_with_the_same_key_after_a_lost_response() {
     let stub = ApiStub::start().await;
-    let rude = rude_entry().await;
+    let unresponsive = unresponsive_entry().await;
     let closed = ClosedAddress::new();
     let line = format!("submit --service payrun --key {KEY}");
     assert_eq!(
-        exit_code(&[&closed.address, &rude, &stub.address], &line).await,
+        exit_code(&[&closed.address, &unresponsive, &stub.address], &line).await,
         0
     );
     assert_eq!(stub.state.lock().unwrap().keys, [KEY]);
-    assert_eq!(exit_code(&[&rude, &closed.address], &line).await, 4);
+    assert_eq!(exit_code(&[&unresponsive, &closed.address], &line).await, 4);
     assert_eq!(exit_code(&[&closed.address], &line).await, 1);
 }
 
@@ -326,7 +326,7 @@
         key 1764691200000-payrun
         error: POST /v1/jobs was refused
           caused by: 429 overload: as the test asked (verdict not_run, retry after 40 ms)
-          hint: nothing took effect; come back after the time given
+          hint: nothing took effect; retry after the time given
     "#]],
     )
     .await;
@@ -337,13 +337,13 @@
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn a_refusal_of_the_only_request_under_a_key_counts_by_itself() {
+async fn a_refusal_of_the_only_request_with_a_key_has_the_request_verdict() {
     let stub = ApiStub::start().await;
-    let rude = rude_entry().await;
+    let unresponsive = unresponsive_entry().await;
     let refusal = (503, "owner_lost", Verdict::MayHaveRun, Verdict::NotRun);
     stub.set(|state| state.refuse_jobs = Some(refusal));
-    let fresh = "submit --service payrun";
-    check(&stub, fresh, expect![[r#"
+    let with_new_key = "submit --service payrun";
+    check(&stub, with_new_key, expect![[r#"
         exit 3
         --
         key 01890a5d-ac96-8abc-8000-000000000001
@@ -351,13 +351,16 @@
           caused by: 503 owner lost: as the test asked (verdict may_have_run, of this request alone not_run, retry after 40 ms)
           hint: nothing took effect; submit it again under a new key
     "#]]).await;
-    assert_eq!(exit_code(&[&rude, &stub.address], fresh).await, 4);
-    let known = format!("{fresh} --key {KEY}");
-    assert_eq!(exit_code(&[&stub.address], &known).await, 4);
+    assert_eq!(
+        exit_code(&[&unresponsive, &stub.address], with_new_key).await,
+        4
+    );
+    let with_given_key = format!("{with_new_key} --key {KEY}");
+    assert_eq!(exit_code(&[&stub.address], &with_given_key).await, 4);
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn job_and_cancel_name_the_key_whatever_its_characters() {
+async fn job_and_cancel_encode_the_key_in_the_path() {
     let stub = ApiStub::start().await;
     let key = "1764691200000-a/b?c%20";
     for line in [format!("job {key} --wait-ms 5"), format!("cancel {key}")] {
@@ -370,7 +373,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn drain_goes_to_the_named_instance_and_waits() {
+async fn drain_goes_to_the_given_instance_and_waits() {
     let (named, other) = (ApiStub::start().await, ApiStub::start().await);
     let line = format!("drain {} --wait", named.address);
     let output = run(&[&other.address], &line).await;
@@ -380,13 +383,13 @@
         ENTRY has gone
         --
     "#]]
-    .assert_eq(&shown(&output, &named));
+    .assert_eq(&render(&output, &named));
     assert!(other.state.lock().unwrap().changes.is_empty());
     assert_eq!(exit_code(&[&other.address], &line).await, 1);
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn an_instance_that_is_cut_off_is_told_as_silent_and_never_as_done() {
+async fn a_silent_instance_is_never_reported_as_having_the_revision() {
     let stub = ApiStub::start().await;
     let seen = vec![instance("a", Serving, 9, 0), instance("b", Silent, 1, 900)];
     stub.set(|state| state.status = Some(seen_by("a", 9, seen)));
@@ -411,12 +414,12 @@
         --
         revision 4 in force at 1 of 2 instances
         error: after 1 ms revision 4 is in force at 1 of 2 instances; missing: b (unknown: silent for 900 ms, last at 1)
-          hint: look again with `trefoilctl status`
+          hint: check again with `trefoilctl status`
     "#]]).await;
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn the_examples_have_the_form_of_the_schemas() {
+async fn examples_are_valid() {
     use trefoil_schema::api::JobRequest;
     use trefoilbay::ops::declare;
     let root = PathBuf::from(env!("CARGO_MANIFEST_DIR")).join("examples");
--- a/tests/testsuite/ctl_operator.rs
+++ b/tests/testsuite/ctl_operator.rs
@@ -1,5 +1,5 @@
-//! `trefoilctl` against the real operators' routes and a stand-in of the
-//! platform's store, in one process.
+//! The operations of `trefoilctl` against the operator API and a fake of the platform's
+//! store, in one process.
 
 use std::path::Path;
 
@@ -12,7 +12,6 @@
 
 use crate::support::api_stub::ApiStub;
 
-/// Far more than a change needs to come into force here.
 const WAIT_MS: u64 = 10_000;
 
 fn client(stub: &ApiStub) -> Client {
@@ -45,7 +44,7 @@
 const TEAM_200: &str = r#"{"kind":"team","name":"families","spec":{"weight":200}}"#;
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn what_is_applied_comes_into_force_and_is_then_unchanged() {
+async fn applied_resources_come_into_force_and_are_then_unchanged() {
     let stub = ApiStub::start().await;
     let client = &client(&stub);
     let root = Path::new(env!("CARGO_MANIFEST_DIR")).join("examples/blue-mahoe");
@@ -57,15 +56,15 @@
     assert_eq!(changes(&steps), [Change::Create; 10]);
     let revision = apply_all(client, &steps).await;
 
-    let fleet = rollout::wait(client, revision, WAIT_MS, |_| ()).await;
-    assert_eq!(fleet.expect("in force").counts(revision), (1, 1));
+    let deployment = rollout::wait(client, revision, WAIT_MS, |_| ()).await;
+    assert_eq!(deployment.expect("in force").counts(revision), (1, 1));
     let steps = apply::plan(client, declared).await.expect("planned");
     assert_eq!(changes(&steps), [Change::Unchanged; 10]);
     assert_eq!(apply_all(client, &steps).await, revision);
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn of_two_plans_made_at_once_the_second_is_a_conflict() {
+async fn the_second_of_two_concurrent_plans_is_a_conflict() {
     let stub = ApiStub::start().await;
     let client = &client(&stub);
     apply_all(client, &plan(client, TEAM_100).await).await;
@@ -79,7 +78,7 @@
     apply_all(client, &first).await;
 
     let error = apply::apply(client, &second[0], false).await;
-    let error = error.expect_err("the revision is another one");
+    let error = error.expect_err("the revision has changed");
     assert_eq!(error.exit_status(), ExitStatus::Conflict, "{error}");
     let live = resources::get(client, Kind::Team, "families")
         .await
@@ -100,7 +99,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn nothing_is_called_unchanged_while_the_store_cannot_be_asked() {
+async fn apply_fails_while_the_store_is_unreachable_even_if_nothing_changed() {
     let stub = ApiStub::start().await;
     let client = &client(&stub);
     let revision = apply_all(client, &plan(client, TEAM_100).await).await;
--- a/tests/testsuite/ctl_rollout.rs
+++ b/tests/testsuite/ctl_rollout.rs
@@ -1,11 +1,11 @@
-//! `trefoilctl apply --wait` and `status`: what is said of each instance.
+//! `trefoilctl apply --wait` and `status`: the state reported for each instance.
 
 use expect_test::expect;
 use tokio::net::TcpListener;
 use trefoil_schema::api::InstanceStateName::{Gone, Leaving, Serving, Silent};
 use trefoilbay::ops::client::{Client, ClientSettings};
 use trefoilbay::ops::error::{ExitStatus, OpsError};
-use trefoilbay::ops::rollout::{self, Fleet, InForce};
+use trefoilbay::ops::rollout::{self, DeploymentStatus, InForce};
 
 use crate::support::api_stub::{ApiStub, ClosedAddress, instance, seen_by};
 
@@ -22,44 +22,53 @@
 }
 
 #[test]
-fn a_silent_instance_is_unknown_until_a_newer_word_of_it() {
-    let mut fleet = Fleet::default();
+fn a_silent_instance_is_unknown_until_a_newer_status() {
+    let mut deployment = DeploymentStatus::default();
     let seen = vec![
         instance("a", Serving, 7, 0),
         instance("b", Silent, 6, 900),
         instance("c", Gone, 5, 9000),
     ];
-    fleet.add(seen_by("a", 7, seen));
-    assert_eq!(fleet.in_force(&fleet.instances["b"], 7), InForce::Unknown);
-    assert_eq!(fleet.in_force(&fleet.instances["b"], 6), InForce::Yes);
-    assert!(!fleet.complete(7));
-    assert_eq!(fleet.counts(7), (1, 2));
+    deployment.add(seen_by("a", 7, seen));
+    assert_eq!(
+        deployment.in_force(&deployment.instances["b"], 7),
+        InForce::Unknown
+    );
+    assert_eq!(
+        deployment.in_force(&deployment.instances["b"], 6),
+        InForce::Yes
+    );
+    assert!(!deployment.is_complete(7));
+    assert_eq!(deployment.counts(7), (1, 2));
 
-    fleet.add(seen_by("b", 7, vec![instance("b", Leaving, 7, 0)]));
-    assert!(fleet.complete(7));
+    deployment.add(seen_by("b", 7, vec![instance("b", Leaving, 7, 0)]));
+    assert!(deployment.is_complete(7));
 }
 
 #[test]
-fn a_restarted_instance_counts_by_its_newest_start() {
-    let mut fleet = Fleet::default();
+fn a_restarted_instance_counts_by_its_newest_incarnation() {
+    let mut deployment = DeploymentStatus::default();
     let mut restarted = instance("b", Serving, 0, 50);
     restarted.incarnation = 2;
-    fleet.add(seen_by("b", 0, vec![restarted]));
-    fleet.add(seen_by(
+    deployment.add(seen_by("b", 0, vec![restarted]));
+    deployment.add(seen_by(
         "a",
         7,
         vec![instance("a", Serving, 7, 0), instance("b", Serving, 7, 10)],
     ));
-    assert_eq!(fleet.in_force(&fleet.instances["b"], 7), InForce::NotYet);
+    assert_eq!(
+        deployment.in_force(&deployment.instances["b"], 7),
+        InForce::NotYet
+    );
 }
 
 #[test]
-fn a_deployment_of_which_nothing_is_known_is_not_complete() {
-    assert!(!Fleet::default().complete(0));
+fn a_deployment_without_known_instances_is_not_complete() {
+    assert!(!DeploymentStatus::default().is_complete(0));
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn wait_names_what_is_missing() {
+async fn wait_timeout_names_the_instances_that_lack_the_revision() {
     let stub = ApiStub::start().await;
     let seen = vec![
         instance("a", Serving, 7, 0),
@@ -75,7 +84,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn wait_ends_when_the_last_instance_has_it() {
+async fn wait_ends_once_all_instances_have_the_revision() {
     let (a, b) = (ApiStub::start().await, ApiStub::start().await);
     a.set(|state| {
         let seen = vec![instance("a", Serving, 7, 0), instance("b", Silent, 6, 900)];
@@ -83,30 +92,32 @@
     });
     b.set(|state| state.status = Some(seen_by("b", 6, vec![instance("b", Serving, 6, 0)])));
     let both = client(&[&a, &b]);
-    let mut looks = 0;
-    let waited = rollout::wait(&both, 7, 20_000, |fleet| {
-        looks += 1;
-        assert_eq!(fleet.complete(7), looks == 2);
+    let mut polls = 0;
+    let waited = rollout::wait(&both, 7, 20_000, |deployment| {
+        polls += 1;
+        assert_eq!(deployment.is_complete(7), polls == 2);
         b.set(|state| state.status = Some(seen_by("b", 7, vec![instance("b", Serving, 7, 0)])));
     });
-    waited.await.expect("complete at the second look");
-    assert_eq!(looks, 2);
+    waited.await.expect("complete at the second poll");
+    assert_eq!(polls, 2);
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn no_entry_at_all_is_an_error_not_an_empty_deployment() {
+async fn status_fails_if_no_entry_responds() {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a free port");
     let address = listener.local_addr().expect("bound").to_string();
     let client = client_of(vec![address]);
     let accept = async { drop(listener.accept().await) };
-    let (error, ()) = tokio::join!(rollout::look(&client), accept);
+    let (error, ()) = tokio::join!(rollout::fetch_status(&client), accept);
     let error = error.expect_err("the connection was closed");
-    assert!(matches!(error, OpsError::Lost { .. }), "{error}");
+    assert!(matches!(error, OpsError::ResponseLost { .. }), "{error}");
     assert_eq!(error.exit_status(), ExitStatus::Failed);
 
     let closed = ClosedAddress::new();
     let client = client_of(vec![closed.address.clone()]);
-    let error = rollout::look(&client).await.expect_err("nothing listens");
+    let error = rollout::fetch_status(&client)
+        .await
+        .expect_err("nothing listens");
     assert!(matches!(error, OpsError::Connect { .. }), "{error}");
     let error = rollout::wait(&client, 7, 1, |_| ()).await;
     let error = error.expect_err("nothing is known");
