--- a/src/bin/trefoilctl/commands/describe.rs
+++ b/src/bin/trefoilctl/commands/describe.rs
@@ -34,7 +34,7 @@
         status.instances_in_force, status.instances_live
     ));
     output::line("spec:");
-    output::json(&apply::display_spec(found.kind, &found.spec));
+    output::json(&apply::normalized_spec(found.kind, &found.spec));
     if !status.conditions.is_empty() {
         print_conditions(&status.conditions);
     }
--- a/src/bin/trefoilctl/commands/get.rs
+++ b/src/bin/trefoilctl/commands/get.rs
@@ -67,7 +67,7 @@
 }
 
 fn spec_cells(resource: &StoredResource) -> Vec<String> {
-    let spec = apply::display_spec(resource.kind, &resource.spec);
+    let spec = apply::normalized_spec(resource.kind, &resource.spec);
     columns(resource.kind)
         .iter()
         .map(|(_, pointer)| match spec.pointer(pointer) {
--- a/src/ops/apply.rs
+++ b/src/ops/apply.rs
@@ -87,12 +87,12 @@
 
 /// Whether a live resource equals the declaration, once defaults are filled in.
 pub fn matches_live(resource: &Resource, live: &StoredResource) -> bool {
-    let declared = display_spec(resource.kind, &resource.spec);
-    declared == display_spec(live.kind, &live.spec) && resource.labels == live.labels
+    let declared = normalized_spec(resource.kind, &resource.spec);
+    declared == normalized_spec(live.kind, &live.spec) && resource.labels == live.labels
 }
 
 /// Returns a spec with its defaults filled in, or unchanged if it is invalid.
-pub fn display_spec(kind: Kind, spec: &Value) -> Value {
+pub fn normalized_spec(kind: Kind, spec: &Value) -> Value {
     spec_with_defaults(kind, spec).unwrap_or_else(|_| spec.clone())
 }
 
--- a/src/ops/diff.rs
+++ b/src/ops/diff.rs
@@ -4,7 +4,7 @@
 use similar::TextDiff;
 use trefoil_schema::resources::{Kind, Resource, StoredResource};
 
-use super::apply::{Change, Step, display_spec};
+use super::apply::{Change, Step, normalized_spec};
 
 const CONTEXT_LINES: usize = 3;
 
@@ -33,7 +33,7 @@
 }
 
 fn render(kind: Kind, spec: &Value, labels: Value) -> String {
-    let shown = json!({ "labels": labels, "spec": display_spec(kind, spec) });
+    let shown = json!({ "labels": labels, "spec": normalized_spec(kind, spec) });
     let mut text = serde_json::to_string_pretty(&shown).unwrap_or_default();
     text.push('\n');
     text
