--- a/xtask/src/figures.rs
+++ b/xtask/src/figures.rs
@@ -1,5 +1,5 @@
-//! `cargo xtask figures DIR [PLOTS]`: tables and plots of the runs that
-//! `scripts/measure` wrote under DIR; the plots go to PLOTS, if named.
+//! `cargo xtask figures DIR [PLOTS]`: prints tables of the runs that `scripts/measure` wrote
+//! to DIR, and draws plots to PLOTS if given.
 
 mod plots;
 mod record;
@@ -10,14 +10,14 @@
 use crate::Result;
 use record::Record;
 
-/// Prints the tables of every set, and draws the plots.
+/// Prints a table per set and draws the plots.
 pub fn run(dir: &Path, plots: Option<&Path>) -> Result<()> {
     let records = record::read_all(dir)?;
     let mut sets: Vec<&str> = records.iter().map(|record| record.set.as_str()).collect();
     sets.dedup();
     for set in sets {
-        let of_set: Vec<&Record> = records.iter().filter(|record| record.set == set).collect();
-        println!("{}", tables::table(set, &of_set));
+        let set_records: Vec<&Record> = records.iter().filter(|record| record.set == set).collect();
+        println!("{}", tables::table(set, &set_records));
     }
     match plots {
         Some(plots) => plots::draw(&records, plots),
--- a/xtask/src/figures/record.rs
+++ b/xtask/src/figures/record.rs
@@ -1,4 +1,4 @@
-//! One run as `scripts/measure` writes it.
+//! The records of runs that `scripts/measure` writes.
 
 use std::collections::BTreeMap;
 use std::fs;
@@ -10,7 +10,7 @@
 
 const US_PER_TICK: f64 = 10_000.0;
 
-/// A distribution in short.
+/// Summary of a distribution.
 #[derive(Clone, Copy, Debug, Default, Deserialize)]
 pub struct Summary {
     pub count: u64,
@@ -21,7 +21,7 @@
     pub max: f64,
 }
 
-/// Messages that did no work.
+/// Messages that did not contribute to a result.
 #[derive(Clone, Debug, Deserialize)]
 pub struct Waste {
     pub starts: u64,
@@ -29,7 +29,7 @@
     pub entry_messages_per_task: f64,
 }
 
-/// What the load tool reports, as far as the tables show it.
+/// The fields of the load tool's report that the tables use.
 #[derive(Clone, Debug, Deserialize)]
 pub struct LoadReport {
     pub run_s: f64,
@@ -48,51 +48,51 @@
     pub refusals: BTreeMap<String, Summary>,
     pub failures: BTreeMap<String, u64>,
     pub waste: Waste,
-    /// Processor time of all instances, in microseconds a task started.
+    /// CPU time of all instances per started task, in microseconds.
     #[serde(skip)]
     pub entry_us_per_task: Option<f64>,
 }
 
 impl LoadReport {
-    /// Submissions refused.
+    /// Number of refused submissions.
     pub fn refused(&self) -> u64 {
         self.refusals.values().map(|latency| latency.count).sum()
     }
 
-    /// Jobs that were admitted and missed their deadline.
+    /// Number of admitted jobs that missed their deadline.
     pub fn past_deadline(&self) -> u64 {
         self.complete_late + self.failures.get("deadline").copied().unwrap_or_default()
     }
 
-    /// Jobs that were admitted.
+    /// Number of admitted jobs.
     pub fn admitted(&self) -> u64 {
         self.complete + self.failures.values().sum::<u64>()
     }
 
-    /// Tasks of complete jobs a second, up to the last answer.
+    /// Tasks of complete jobs per second, over the time until the last answer.
     pub fn goodput_to_last_answer(&self) -> f64 {
         self.goodput_tasks_per_s * self.run_s / self.whole_s
     }
 
-    /// Highest quantile of the latency of refusals, over the reasons.
+    /// Maximum over the refusal reasons of a quantile of the refusal latency.
     pub fn refusal_ms(&self, quantile: fn(&Summary) -> f64) -> f64 {
         self.refusals.values().map(quantile).fold(0.0, f64::max)
     }
 }
 
-/// What instances without work cost together.
+/// Resources used by all idle instances together.
 #[derive(Clone, Copy, Debug, Deserialize)]
 pub struct Idle {
     pub instances: u32,
     pub span_ms: f64,
     pub store_calls: f64,
-    /// Processor time in hundredths of a second.
+    /// CPU time in ticks of 10 ms.
     pub cpu_ticks: f64,
     pub rss_kb: f64,
     pub peer_bytes_sent: f64,
 }
 
-/// One run.
+/// A run of a measurement.
 #[derive(Clone, Debug, Deserialize)]
 pub struct Record {
     pub set: String,
@@ -102,13 +102,13 @@
     pub cores: u32,
     pub load_before: f64,
     pub load_after: f64,
-    /// Processor time of all instances, in hundredths of a second.
+    /// CPU time of all instances, in ticks of 10 ms.
     pub entry_cpu_ticks: Option<f64>,
     pub report: Option<LoadReport>,
     pub idle: Option<Idle>,
 }
 
-/// Reads every run under `dir`, in order of set, name and round.
+/// Reads all records under `dir`, sorted by set, name and round.
 pub fn read_all(dir: &Path) -> Result<Vec<Record>> {
     let mut records = Vec::new();
     for set in fs::read_dir(dir)? {
--- a/xtask/src/figures/tables.rs
+++ b/xtask/src/figures/tables.rs
@@ -1,4 +1,4 @@
-//! Tables in Markdown, a row a run.
+//! Markdown tables with a row per run.
 
 use std::fmt::Write;
 
@@ -9,17 +9,21 @@
 const KB_PER_MB: f64 = 1_024.0;
 const PERCENT: f64 = 100.0;
 
-/// One column: its heading and a run's entry.
+/// Heading of a column and the function that formats a cell.
 type Column<T> = (&'static str, fn(&T) -> String);
 
 const RATIO_COLUMNS: [Column<LoadReport>; 10] = [
     ("jobs", |report| report.jobs.to_string()),
     ("refused", |report| report.refused().to_string()),
     ("failed", |report| failed(report).to_string()),
-    ("mean", |report| two(report.response_over_ideal.mean)),
-    ("p50", |report| two(report.response_over_ideal.p50)),
-    ("p99", |report| two(report.response_over_ideal.p99)),
-    ("p99.9", |report| two(report.response_over_ideal.p999)),
+    ("mean", |report| {
+        two_decimals(report.response_over_ideal.mean)
+    }),
+    ("p50", |report| two_decimals(report.response_over_ideal.p50)),
+    ("p99", |report| two_decimals(report.response_over_ideal.p99)),
+    ("p99.9", |report| {
+        two_decimals(report.response_over_ideal.p999)
+    }),
     ("wasted/task", |report| {
         format!("{:.4}", wasted_per_task(report))
     }),
@@ -27,15 +31,19 @@
         let us = report.entry_us_per_task;
         us.map_or("".to_owned(), |us| format!("{us:.0}"))
     }),
-    ("send lag p99 ms", |report| two(report.send_lag_ms.p99)),
+    ("send lag p99 ms", |report| {
+        two_decimals(report.send_lag_ms.p99)
+    }),
 ];
 
 const OVERHEAD_COLUMNS: [Column<LoadReport>; 5] = [
     ("jobs", |report| report.complete.to_string()),
-    ("excess mean ms", |report| two(report.excess_ms.mean)),
-    ("p50 ms", |report| two(report.excess_ms.p50)),
-    ("p99 ms", |report| two(report.excess_ms.p99)),
-    ("max ms", |report| two(report.excess_ms.max)),
+    ("excess mean ms", |report| {
+        two_decimals(report.excess_ms.mean)
+    }),
+    ("p50 ms", |report| two_decimals(report.excess_ms.p50)),
+    ("p99 ms", |report| two_decimals(report.excess_ms.p99)),
+    ("max ms", |report| two_decimals(report.excess_ms.max)),
 ];
 
 const OVERLOAD_COLUMNS: [Column<LoadReport>; 9] = [
@@ -66,14 +74,14 @@
 const IDLE_COLUMNS: [Column<Idle>; 5] = [
     ("instances", |idle| idle.instances.to_string()),
     ("store calls/s", |idle| {
-        two(idle.store_calls * MS_PER_S / idle.span_ms)
+        two_decimals(idle.store_calls * MS_PER_S / idle.span_ms)
     }),
     ("% of a core each", |idle| {
         let span_s = idle.span_ms / MS_PER_S;
-        two(idle.cpu_ticks / TICKS_PER_S / span_s / f64::from(idle.instances) * PERCENT)
+        two_decimals(idle.cpu_ticks / TICKS_PER_S / span_s / f64::from(idle.instances) * PERCENT)
     }),
     ("RSS MB each", |idle| {
-        two(idle.rss_kb / KB_PER_MB / f64::from(idle.instances))
+        two_decimals(idle.rss_kb / KB_PER_MB / f64::from(idle.instances))
     }),
     ("bytes/s sent each", |idle| {
         let span_s = idle.span_ms / MS_PER_S;
@@ -84,7 +92,7 @@
     }),
 ];
 
-fn two(value: f64) -> String {
+fn two_decimals(value: f64) -> String {
     format!("{value:.2}")
 }
 
@@ -100,7 +108,7 @@
         .max(waste.entry_messages_per_task)
 }
 
-/// The table of one set.
+/// Renders the table of a set.
 pub fn table(set: &str, records: &[&Record]) -> String {
     let report = |record: &Record| record.report.clone();
     match set {
@@ -114,7 +122,7 @@
 fn rows<T>(
     records: &[&Record],
     columns: &[Column<T>],
-    figures: impl Fn(&Record) -> Option<T>,
+    values: impl Fn(&Record) -> Option<T>,
 ) -> String {
     let mut text = "| run | seed | load average of cores |".to_owned();
     for (heading, _) in columns {
@@ -124,7 +132,7 @@
     text.push_str(&"---|".repeat(columns.len()));
     text.push('\n');
     for record in records {
-        let Some(figures) = figures(record) else {
+        let Some(values) = values(record) else {
             continue;
         };
         let (name, round, seed) = (&record.name, record.round, record.seed);
@@ -134,8 +142,8 @@
             "| {name} {round} | {seed} | {before:.0} to {after:.0} of {} |",
             record.cores
         );
-        for (_, entry) in columns {
-            let _ = write!(text, " {} |", entry(&figures));
+        for (_, format_cell) in columns {
+            let _ = write!(text, " {} |", format_cell(&values));
         }
         text.push('\n');
     }
--- a/xtask/src/main.rs
+++ b/xtask/src/main.rs
@@ -1,10 +1,9 @@
 //! Repository tasks: `cargo xtask codegen [--check]` and
 //! `cargo xtask figures DIR [PLOTS]` (see [`figures`]).
 //!
-//! `codegen` generates the Rust types of messages (prost, from `.proto` files compiled by
-//! protox, so that no protoc is needed) and of settings, resources and the HTTP
-//! API (typify, from JSON Schema). The output is committed; `--check` fails
-//! when it is not current.
+//! `codegen` generates the Rust types of messages with prost, from `.proto` files that
+//! protox compiles without protoc, and of settings, resources and the HTTP API with
+//! typify, from JSON Schema. The output is committed; `--check` fails if it is outdated.
 
 mod figures;
 
@@ -32,17 +31,16 @@
     }
 }
 
-/// One generated file and its text.
-struct Generated {
+struct GeneratedFile {
     path: PathBuf,
     text: String,
 }
 
-fn schema_crate() -> PathBuf {
+fn schema_crate_dir() -> PathBuf {
     Path::new(env!("CARGO_MANIFEST_DIR")).join("../crates/schema")
 }
 
-fn generate() -> Result<Vec<Generated>> {
+fn generate() -> Result<Vec<GeneratedFile>> {
     let mut files = Vec::new();
     for name in PROTO_NAMES {
         files.push(generate_messages(name)?);
@@ -53,8 +51,8 @@
     Ok(files)
 }
 
-fn generate_messages(name: &str) -> Result<Generated> {
-    let proto_dir = schema_crate().join("proto");
+fn generate_messages(name: &str) -> Result<GeneratedFile> {
+    let proto_dir = schema_crate_dir().join("proto");
     let descriptors = protox::compile([format!("{name}.proto")], [&proto_dir])?;
     let out_dir = std::env::temp_dir().join(format!("trefoilbay-codegen-{}", std::process::id()));
     fs::create_dir_all(&out_dir)?;
@@ -64,26 +62,26 @@
     config.compile_fds(descriptors)?;
     let text = fs::read_to_string(out_dir.join(format!("trefoilbay.{name}.v1.rs")))?;
     fs::remove_dir_all(&out_dir)?;
-    Ok(generated(name, &text))
+    Ok(generated_file(name, &text))
 }
 
-fn generate_json(name: &str) -> Result<Generated> {
-    let path = schema_crate().join(format!("schema/{name}.schema.json"));
+fn generate_json(name: &str) -> Result<GeneratedFile> {
+    let path = schema_crate_dir().join(format!("schema/{name}.schema.json"));
     let text = fs::read_to_string(path)?;
     let mut schema: Value = serde_json::from_str(&text)?;
-    fill_defaults(&mut schema);
+    expand_object_defaults(&mut schema);
     let schema: schemars::schema::RootSchema = serde_json::from_value(schema)?;
     let mut settings = typify::TypeSpaceSettings::default();
     settings.with_derive("PartialEq".to_owned());
     let mut space = typify::TypeSpace::new(&settings);
     space.add_root_schema(schema)?;
     let file = syn::parse2::<syn::File>(space.to_stream())?;
-    Ok(generated(name, &prettyplease::unparse(&file)))
+    Ok(generated_file(name, &prettyplease::unparse(&file)))
 }
 
-/// Replaces the default `{}` of a nested object by the defaults of its fields:
-/// typify would fill them with zeros.
-fn fill_defaults(schema: &mut Value) {
+/// Replaces the default `{}` of a nested object with the defaults of its fields, which
+/// typify would set to zero.
+fn expand_object_defaults(schema: &mut Value) {
     let definitions = schema["definitions"].clone();
     let Some(properties) = schema["properties"].as_object_mut() else {
         return;
@@ -107,27 +105,31 @@
         .into()
 }
 
-fn generated(name: &str, text: &str) -> Generated {
-    Generated {
-        path: schema_crate().join(format!("src/generated/{name}.rs")),
+fn generated_file(name: &str, text: &str) -> GeneratedFile {
+    GeneratedFile {
+        path: schema_crate_dir().join(format!("src/generated/{name}.rs")),
         text: format!("{HEADER}{text}"),
     }
 }
 
-fn write_all(files: &[Generated]) -> Result<()> {
+fn write_all(files: &[GeneratedFile]) -> Result<()> {
     for file in files {
-        fs::create_dir_all(file.path.parent().expect("a generated file has a folder"))?;
+        fs::create_dir_all(
+            file.path
+                .parent()
+                .expect("a generated file has a parent directory"),
+        )?;
         fs::write(&file.path, &file.text)?;
     }
     Ok(())
 }
 
-fn check_all(files: &[Generated]) -> Result<()> {
+fn check_all(files: &[GeneratedFile]) -> Result<()> {
     for file in files {
         let found = fs::read_to_string(&file.path).unwrap_or_default();
         if found != file.text {
             return Err(format!(
-                "{} is not current: run `cargo xtask codegen`",
+                "{} is outdated: run `cargo xtask codegen`",
                 file.path.display()
             )
             .into());
