--- a/examples/caller_overhead.rs
+++ b/examples/caller_overhead.rs
@@ -1,8 +1,8 @@
-//! What a task costs beyond its call: a measurement, run by hand with
+//! Measures the overhead per task of each layer between caller and worker:
 //! `cargo run --release --example caller_overhead`.
 //!
-//! Workers, instance and callers share one process and the machine's loopback.
-//! Each layer adds one part to the layer before it.
+//! Workers, instance and callers run in one process and communicate over loopback. Each
+//! measurement adds one layer to the previous one.
 
 use std::convert::Infallible;
 use std::sync::Arc;
@@ -37,22 +37,22 @@
 const WORKERS: usize = 8;
 const TASKS: usize = 20_000;
 
-/// A backend server that answers at once.
-async fn worker() -> Arc<str> {
+/// Starts a backend server that responds immediately; returns its address.
+async fn start_worker() -> Arc<str> {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let address = listener.local_addr().unwrap().to_string();
     tokio::spawn(async move {
         while let Ok((stream, _)) = listener.accept().await {
             stream.set_nodelay(true).unwrap();
             let serving = hyper::server::conn::http1::Builder::new()
-                .serve_connection(TokioIo::new(stream), service_fn(work));
+                .serve_connection(TokioIo::new(stream), service_fn(run_task));
             tokio::spawn(serving);
         }
     });
     address.into()
 }
 
-async fn work(request: Request<Incoming>) -> Result<Response<Full<Bytes>>, Infallible> {
+async fn run_task(request: Request<Incoming>) -> Result<Response<Full<Bytes>>, Infallible> {
     let task = request.headers().get("trefoil-task").cloned();
     request.into_body().collect().await.ok();
     let mut response = Response::new(Full::new(Bytes::from_static(b"{\"net\":1}")));
@@ -62,8 +62,8 @@
     Ok(response)
 }
 
-/// Processor time of this process so far, user and system.
-fn processor_time() -> Duration {
+/// User and system CPU time of this process so far.
+fn cpu_time() -> Duration {
     const TICKS_PER_SECOND: u64 = 100;
     let stat = std::fs::read_to_string("/proc/self/stat").unwrap();
     let (_, fields) = stat.rsplit_once(") ").unwrap();
@@ -75,39 +75,41 @@
     Duration::from_millis(ticks * 1000 / TICKS_PER_SECOND)
 }
 
-/// Runs `units` of `tasks_per_unit` tasks, `at_once` of them side by side.
-async fn measure<F, R>(name: &str, at_once: usize, tasks_per_unit: usize, unit: F)
+/// Runs `unit` repeatedly in `concurrency` parallel loops, and prints latency and throughput.
+async fn measure<F, R>(name: &str, concurrency: usize, tasks_per_unit: usize, unit: F)
 where
     F: Fn(usize) -> R + Clone + Send + 'static,
     R: Future<Output = ()> + Send + 'static,
 {
-    let units = TASKS / tasks_per_unit / at_once;
-    let (start, processor) = (Instant::now(), processor_time());
+    let units = TASKS / tasks_per_unit / concurrency;
+    let (start, cpu_start) = (Instant::now(), cpu_time());
     let mut runs = JoinSet::new();
-    for run in 0..at_once {
+    for run in 0..concurrency {
         let unit = unit.clone();
         runs.spawn(async move {
-            let mut took = Histogram::<u64>::new(3).unwrap();
+            let mut latencies = Histogram::<u64>::new(3).unwrap();
             for _ in 0..units {
                 let start = Instant::now();
                 unit(run).await;
-                took.record(start.elapsed().as_micros() as u64).unwrap();
+                latencies
+                    .record(start.elapsed().as_micros() as u64)
+                    .unwrap();
             }
-            took
+            latencies
         });
     }
-    let mut took = Histogram::<u64>::new(3).unwrap();
+    let mut latencies = Histogram::<u64>::new(3).unwrap();
     while let Some(run) = runs.join_next().await {
-        took.add(run.unwrap()).unwrap();
+        latencies.add(run.unwrap()).unwrap();
     }
-    let tasks = (units * tasks_per_unit * at_once) as f64;
-    let (elapsed, processor) = (start.elapsed(), processor_time() - processor);
+    let tasks = (units * tasks_per_unit * concurrency) as f64;
+    let (elapsed, cpu) = (start.elapsed(), cpu_time() - cpu_start);
     println!(
-        "{name:34} at once {at_once:3}: p50 {:6} us, p99 {:6} us, {:7.0} tasks/s, processor {:5.1} us/task",
-        took.value_at_quantile(0.5),
-        took.value_at_quantile(0.99),
+        "{name:34} concurrency {concurrency:3}: p50 {:6} us, p99 {:6} us, {:7.0} tasks/s, CPU {:5.1} us/task",
+        latencies.value_at_quantile(0.5),
+        latencies.value_at_quantile(0.99),
         tasks / elapsed.as_secs_f64(),
-        processor.as_secs_f64() * 1e6 / tasks,
+        cpu.as_secs_f64() * 1e6 / tasks,
     );
 }
 
@@ -203,8 +205,8 @@
     }
 }
 
-/// The decisions alone: each placement is done as soon as it is made.
-fn engine_alone(engine: &Engine, tasks: usize) {
+/// Submits a job to the engine alone; each task completes as soon as it is placed.
+fn submit_to_engine(engine: &Engine, tasks: usize) {
     let now = Clock::start().now();
     let mut out = Vec::new();
     engine.submit(now, submission(tasks), WaiterId(1), true, &mut out);
@@ -225,8 +227,8 @@
     assert!(complete, "{answer:?}");
 }
 
-/// Serves callers; returns the address.
-async fn serve(runtime: &Arc<Runtime>) -> String {
+/// Starts the callers' HTTP API; returns its address.
+async fn start_server(runtime: &Arc<Runtime>) -> String {
     let context = CallerContext {
         dispatch: Dispatch::new(Arc::clone(runtime)),
         jobs: Arc::new(JobSettings::default()),
@@ -244,14 +246,14 @@
     address
 }
 
-fn state_request(address: &str) -> Request<Full<Bytes>> {
+fn get_job_request(address: &str) -> Request<Full<Bytes>> {
     Request::get(format!("/v1/jobs/{}", key()))
         .header("host", address)
         .body(Full::default())
         .unwrap()
 }
 
-fn job_request(address: &str, tasks: usize) -> Request<Full<Bytes>> {
+fn submit_request(address: &str, tasks: usize) -> Request<Full<Bytes>> {
     let task = format!(r#"{{"payload":{PAYLOAD}}}"#);
     let tasks = vec![task; tasks].join(",");
     let body = format!(r#"{{"service":"{SERVICE}","tasks":[{tasks}]}}"#);
@@ -266,7 +268,7 @@
 async fn main() {
     let mut workers = Vec::new();
     for _ in 0..WORKERS {
-        workers.push(worker().await);
+        workers.push(start_worker().await);
     }
     let client = Arc::new(WorkerClient::new(&WorkerSettings::default()));
     let engine = Engine::new(EngineSettings {
@@ -278,16 +280,16 @@
     runtime.set_domain_members("entry-1", &["entry-1".to_owned()]);
     runtime.set_config(Arc::new(config(&workers)));
     let _ticker = runtime.start_ticker();
-    let server = serve(&runtime).await;
-    for at_once in [1, 32] {
+    let server = start_server(&runtime).await;
+    for concurrency in [1, 32] {
         let mut direct = Vec::new();
         let mut callers = Vec::new();
-        for run in 0..at_once {
+        for run in 0..concurrency {
             direct.push(connect(&workers[run % WORKERS]).await);
             callers.push(connect(&server).await);
         }
         let addresses = workers.clone();
-        measure("hyper to the worker", at_once, 1, move |run| {
+        measure("hyper to worker", concurrency, 1, move |run| {
             let sender = Arc::clone(&direct[run]);
             let request = Request::post("/run")
                 .header("host", &*addresses[run % WORKERS])
@@ -298,36 +300,41 @@
         })
         .await;
         let (addresses, shared) = (workers.clone(), Arc::clone(&client));
-        measure("worker client", at_once, 1, move |run| {
+        measure("worker client", concurrency, 1, move |run| {
             let (client, call) = (Arc::clone(&shared), call(&addresses[run % WORKERS]));
             async move { drop(client.call(&call).await) }
         })
         .await;
         let (states, address) = (callers.clone(), server.clone());
-        measure("HTTP, state of an unknown job", at_once, 1, move |run| {
-            let (sender, request) = (Arc::clone(&states[run]), state_request(&address));
-            async move { assert_eq!(exchange(&sender, request).await, StatusCode::NOT_FOUND) }
-        })
+        measure(
+            "HTTP, state of an unknown job",
+            concurrency,
+            1,
+            move |run| {
+                let (sender, request) = (Arc::clone(&states[run]), get_job_request(&address));
+                async move { assert_eq!(exchange(&sender, request).await, StatusCode::NOT_FOUND) }
+            },
+        )
         .await;
         for tasks in [1, 100] {
             let shared = Arc::clone(&runtime);
             let name = format!("engine alone, jobs of {tasks}");
-            measure(&name, at_once, tasks, move |_| {
+            measure(&name, concurrency, tasks, move |_| {
                 let runtime = Arc::clone(&shared);
-                async move { engine_alone(runtime.engine(), tasks) }
+                async move { submit_to_engine(runtime.engine(), tasks) }
             })
             .await;
             let shared = Arc::clone(&runtime);
             let name = format!("runtime, jobs of {tasks}");
-            measure(&name, at_once, tasks, move |_| {
+            measure(&name, concurrency, tasks, move |_| {
                 let runtime = Arc::clone(&shared);
                 async move { submit(&runtime, tasks).await }
             })
             .await;
             let (callers, server) = (callers.clone(), server.clone());
             let name = format!("HTTP and runtime, jobs of {tasks}");
-            measure(&name, at_once, tasks, move |run| {
-                let (sender, request) = (Arc::clone(&callers[run]), job_request(&server, tasks));
+            measure(&name, concurrency, tasks, move |run| {
+                let (sender, request) = (Arc::clone(&callers[run]), submit_request(&server, tasks));
                 async move { post(&sender, request).await }
             })
             .await;
--- a/examples/link_churn/main.rs
+++ b/examples/link_churn/main.rs
@@ -1,8 +1,7 @@
-//! Links under churn: a peer that comes and goes while others send to it.
+//! Stress test of links: a peer restarts repeatedly while others send to it.
 //!
-//! `cargo run --example link_churn -- SECONDS`: ends with the number of
-//! restarts; a crash of the process is what it looks for: see
-//! `docs/design/links.md`.
+//! `cargo run --example link_churn -- SECONDS` prints the number of restarts. It fails if
+//! the process crashes; see `docs/design/links.md`.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -14,17 +13,17 @@
 use trefoilbay::links::{LinkSettings, Links};
 
 const SENDERS: usize = 8;
-const SECONDS_DEFAULT: u64 = 10;
+const DEFAULT_SECONDS: u64 = 10;
 
 #[tokio::main]
 async fn main() {
     let seconds = std::env::args().nth(1).and_then(|text| text.parse().ok());
-    let limit = Duration::from_secs(seconds.unwrap_or(SECONDS_DEFAULT));
-    let began = Instant::now();
+    let limit = Duration::from_secs(seconds.unwrap_or(DEFAULT_SECONDS));
+    let started = Instant::now();
     let stop = Arc::new(AtomicBool::new(false));
     let target = address(0);
     let senders: Vec<Links> = (0..SENDERS).map(|index| sender(index, target)).collect();
-    let busy: Vec<_> = senders
+    let threads: Vec<_> = senders
         .iter()
         .map(|links| {
             let (links, stop) = (links.clone(), stop.clone());
@@ -32,14 +31,14 @@
         })
         .collect();
     let mut restarts = 0;
-    while began.elapsed() < limit {
+    while started.elapsed() < limit {
         restarts += 1;
         let (links, mut incoming) = start("target", restarts, target);
         for index in 0..SENDERS {
             links.set_peer(&name(index), address(index + 1));
         }
-        let until = Instant::now() + Duration::from_millis(5 + restarts % 40);
-        while Instant::now() < until {
+        let deadline = Instant::now() + Duration::from_millis(5 + restarts % 40);
+        while Instant::now() < deadline {
             for index in 0..SENDERS {
                 let _ = links.send(&name(index), message());
             }
@@ -50,8 +49,10 @@
             .unwrap();
     }
     stop.store(true, Ordering::Relaxed);
-    busy.into_iter().for_each(|thread| thread.join().unwrap());
-    println!("{restarts} restarts in {:?}, no crash", began.elapsed());
+    threads
+        .into_iter()
+        .for_each(|thread| thread.join().unwrap());
+    println!("{restarts} restarts in {:?}, no crash", started.elapsed());
 }
 
 fn sender(index: usize, target: SocketAddr) -> Links {
--- a/examples/link_rate/echo.rs
+++ b/examples/link_rate/echo.rs
@@ -1,4 +1,4 @@
-//! The baseline: a plain TCP echo, one connection, fixed lengths.
+//! The baseline: TCP echo of fixed-size messages over one connection.
 
 use std::collections::VecDeque;
 use std::time::Instant;
@@ -8,7 +8,7 @@
 
 use crate::Run;
 
-/// Keeps `depth` messages on their way until `count` have come back.
+/// Keeps `depth` messages in flight until `count` have returned.
 pub async fn round_trip(bytes: usize, depth: usize, count: usize) -> Run {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let address = listener.local_addr().unwrap();
@@ -25,7 +25,7 @@
     let stream = TcpStream::connect(address).await.unwrap();
     stream.set_nodelay(true).unwrap();
     let (mut reader, mut writer) = stream.into_split();
-    let (more, mut sends) = tokio::sync::mpsc::unbounded_channel::<()>();
+    let (send_one, mut sends) = tokio::sync::mpsc::unbounded_channel::<()>();
     tokio::spawn(async move {
         let buffer = vec![1; bytes];
         while sends.recv().await.is_some() {
@@ -34,22 +34,22 @@
             }
         }
     });
-    let mut starts = VecDeque::new();
+    let mut sent_at = VecDeque::new();
     let mut latencies = Vec::with_capacity(count);
     let mut buffer = vec![0; bytes];
-    let begun = Instant::now();
+    let started = Instant::now();
     for _ in 0..depth {
-        starts.push_back(Instant::now());
-        more.send(()).unwrap();
+        sent_at.push_back(Instant::now());
+        send_one.send(()).unwrap();
     }
     while latencies.len() < count {
         reader.read_exact(&mut buffer).await.unwrap();
-        latencies.push(starts.pop_front().unwrap().elapsed());
-        if latencies.len() + starts.len() < count {
-            starts.push_back(Instant::now());
-            more.send(()).unwrap();
+        latencies.push(sent_at.pop_front().unwrap().elapsed());
+        if latencies.len() + sent_at.len() < count {
+            sent_at.push_back(Instant::now());
+            send_one.send(()).unwrap();
         }
     }
     server.abort();
-    Run::new(latencies, begun)
+    Run::new(latencies, started)
 }
--- a/examples/link_rate/links.rs
+++ b/examples/link_rate/links.rs
@@ -1,4 +1,4 @@
-//! The links themselves.
+//! Measurements of links.
 
 use std::net::{SocketAddr, TcpListener};
 use std::time::{Duration, Instant};
@@ -11,17 +11,17 @@
 };
 use trefoilbay::links::{Incoming, LinkSettings, Links};
 
-use crate::{JOB_TASKS, Run, SMALL_BYTES, cpu_ns, status, threads};
+use crate::{JOB_TASKS, Run, SMALL_BYTES, cpu_ns, proc_status, threads_by_name};
 
 const FLOOD_MESSAGES: u64 = 300_000;
 const FOOTPRINT_PEERS: u64 = 200;
 
 fn start(name: &str) -> (Links, Receiver<Incoming>, SocketAddr) {
-    let free = TcpListener::bind("127.0.0.1:0").unwrap();
-    let listen = free.local_addr().unwrap();
-    drop(free);
+    let listener = TcpListener::bind("127.0.0.1:0").unwrap();
+    let listen = listener.local_addr().unwrap();
+    drop(listener);
     let settings = LinkSettings {
-        me: reference(name),
+        me: instance_ref(name),
         listen,
         ..LinkSettings::default()
     };
@@ -30,7 +30,7 @@
     (links, receiver, listen)
 }
 
-fn reference(name: &str) -> InstanceRef {
+fn instance_ref(name: &str) -> InstanceRef {
     InstanceRef {
         name: name.to_owned(),
         incarnation: 1,
@@ -75,7 +75,7 @@
     usize::try_from(id).unwrap()
 }
 
-/// Time from `send` to the reader at the other side, `depth` at a time.
+/// Measures the time from `send` to the receiving side, with `depth` messages in flight.
 pub async fn one_way(load: &str, depth: usize, count: usize) {
     let (a, _at_a, _) = start("a");
     let (_b, at_b, address) = start("b");
@@ -85,7 +85,7 @@
         .print("links one way", load, depth);
 }
 
-/// Time from a request to its answer, `depth` at a time.
+/// Measures the time from a request to its answer, with `depth` requests in flight.
 pub async fn round_trip(load: &str, depth: usize, count: usize) {
     let (a, at_a, a_address) = start("a");
     let (b, mut at_b, b_address) = start("b");
@@ -109,44 +109,44 @@
     depth: usize,
     count: usize,
 ) -> Run {
-    // The first exchange dials; it isn't counted.
+    // Not measured, because the first message establishes the connection.
     a.send("b", request(load, 0)).unwrap();
     arrivals.recv().await.unwrap();
-    let mut starts = Vec::with_capacity(count);
+    let mut sent_at = Vec::with_capacity(count);
     let mut latencies = Vec::with_capacity(count);
-    let begun = Instant::now();
+    let started = Instant::now();
     while latencies.len() < count {
-        while starts.len() < count && starts.len() - latencies.len() < depth {
-            let body = request(load, starts.len() as u64);
-            starts.push(Instant::now());
+        while sent_at.len() < count && sent_at.len() - latencies.len() < depth {
+            let body = request(load, sent_at.len() as u64);
+            sent_at.push(Instant::now());
             a.send("b", body).unwrap();
         }
         let incoming = arrivals.recv().await.unwrap();
-        latencies.push(starts[request_id(&incoming.message)].elapsed());
+        latencies.push(sent_at[request_id(&incoming.message)].elapsed());
     }
-    Run::new(latencies, begun)
+    Run::new(latencies, started)
 }
 
-/// As many small messages one way as the link takes.
+/// Measures the maximum rate of small messages in one direction.
 pub async fn throughput() {
     let (a, _at_a, _) = start("a");
     let (b, mut at_b, address) = start("b");
     a.set_peer("b", address);
-    let begun = Instant::now();
+    let started = Instant::now();
     let sender = a.clone();
     tokio::spawn(async move {
         let mut sent = 0;
-        let mut arrived_window = tokio::time::interval(Duration::from_millis(1));
+        let mut retry_interval = tokio::time::interval(Duration::from_millis(1));
         while sent < FLOOD_MESSAGES {
             match sender.send("b", request("small", sent)) {
                 Ok(()) => sent += 1,
-                Err(_) => drop(arrived_window.tick().await),
+                Err(_) => drop(retry_interval.tick().await),
             }
         }
     });
     let mut arrived = 0;
     let idle = Duration::from_secs(1);
-    let mut last = begun;
+    let mut last = started;
     while let Ok(Some(_)) = tokio::time::timeout(idle, at_b.recv()).await {
         arrived += 1;
         last = Instant::now();
@@ -154,45 +154,46 @@
             break;
         }
     }
-    let rate = arrived as f64 / (last - begun).as_secs_f64();
+    let rate = arrived as f64 / (last - started).as_secs_f64();
     let stats = a.stats();
     let inbox_full = b.stats().dropped.inbox_full;
     let batch = stats.messages_out as f64 / stats.frames_out as f64;
     let lost = FLOOD_MESSAGES - arrived;
     println!(
-        "flood one way: {rate:.0} messages/s, {batch:.1} a frame, {lost} not delivered, {inbox_full} of them for a full inbox"
+        "flood one way: {rate:.0} messages/s, {batch:.1} per frame, {lost} not delivered, {inbox_full} of them because of a full inbox"
     );
 }
 
-/// Threads and resident memory of many connected links, both ends.
+/// Measures threads and resident memory of many connected links, both ends.
 pub async fn footprint() {
     let (a, _at_a, _) = start("a");
     let (_b, mut at_b, address) = start("b");
-    let before_kib = status("VmRSS");
+    let before_kib = proc_status("VmRSS");
     for peer in 0..FOOTPRINT_PEERS {
         let name = format!("peer-{peer}");
         a.set_peer(&name, address);
         a.send(&name, request("small", peer)).unwrap();
-        // Peers share one receiver and all count from 1, so only one is delivered.
+        // All peers share one receiver and send sequence number 1, so only one message is
+        // delivered.
     }
     at_b.recv().await.unwrap();
     while a.stats().connects < FOOTPRINT_PEERS {
         tokio::time::sleep(Duration::from_millis(5)).await;
     }
-    let kib = status("VmRSS").saturating_sub(before_kib) as f64 / FOOTPRINT_PEERS as f64;
-    println!("{FOOTPRINT_PEERS} links: {kib:.1} KiB a link, both ends");
-    println!("threads with them: {:?}", threads());
-    let begun = (Instant::now(), cpu_ns());
+    let kib = proc_status("VmRSS").saturating_sub(before_kib) as f64 / FOOTPRINT_PEERS as f64;
+    println!("{FOOTPRINT_PEERS} links: {kib:.1} KiB per link, both ends");
+    println!("threads with them: {:?}", threads_by_name());
+    let (started, cpu_start_ns) = (Instant::now(), cpu_ns());
     tokio::time::sleep(Duration::from_secs(2)).await;
-    let share = (cpu_ns() - begun.1) as f64 / begun.0.elapsed().as_nanos() as f64;
+    let share = (cpu_ns() - cpu_start_ns) as f64 / started.elapsed().as_nanos() as f64;
     println!("idle: {:.3} % of a core", share * 100.0);
 }
 
-/// Size of one heartbeat's frame.
+/// Prints the size of a heartbeat's frame.
 pub fn heartbeat_bytes() {
     for others in [0, 8] {
         let summary = InstanceSummary {
-            instance: Some(reference("instance-000-a")),
+            instance: Some(instance_ref("instance-000-a")),
             domain: "domain-00".to_owned(),
             state: 1,
             config_revision: 1 << 20,
@@ -211,7 +212,7 @@
             ..Heartbeat::default()
         };
         let frame = Frame {
-            from: Some(reference("instance-000-a")),
+            from: Some(instance_ref("instance-000-a")),
             sequence: 1 << 20,
             messages: vec![Message {
                 body: Some(Body::Heartbeat(heartbeat)),
--- a/scripts/lib.sh
+++ b/scripts/lib.sh
@@ -1,7 +1,7 @@
-# Shared by the scripts; sourced, not run.
-
-# A deployment on loopback, as separate processes. Set `base_port` first; an
-# EXIT trap on `end_all` ends all that was started, by process id.
+# Functions to run a deployment on loopback as separate processes. To be sourced.
+#
+# Callers set `base_port` and `work`, a temporary directory. `end_all`, set as an EXIT
+# trap, ends all started processes by their ids and removes `work`.
 
 bin=target/release
 domains=(half-way-tree new-kingston portmore)
@@ -15,8 +15,8 @@
 peer_port() { echo $((base_port + 50 + $1)); }
 worker_port() { echo $((base_port + 100 + 100 * $1)); }
 
-# Position in `domains` of instance $1 of $2 instances: the first domains have
-# one more where they don't divide evenly.
+# Prints the index in `domains` of instance $1 of $2 instances, which are distributed
+# evenly; the first domains have one more if there is a remainder.
 domain_of() {
     local d left=$1 size
     for d in 0 1 2; do
@@ -38,10 +38,10 @@
     local what=$1
     shift
     for _ in $(seq 100); do "$@" >/dev/null 2>&1 && return 0; sleep 0.1; done
-    fail "$what did not come up; see $work"
+    fail "$what did not become ready; see $work"
 }
 
-# Ends every process started, in order of start, and forgets them.
+# Ends all started processes, in order of their start.
 end_processes() {
     for pid in "${pids[@]}"; do kill -TERM "$pid" 2>/dev/null || true; done
     for pid in "${pids[@]}"; do
@@ -58,7 +58,7 @@
     rm -rf "$work"
 }
 
-# Every other instance, as the settings of instance $1 of $2 list them.
+# Prints the `peers` setting of instance $1 of $2: all other instances.
 peers_of() {
     local j list=""
     for ((j = 1; j <= $2; j++)); do
@@ -68,7 +68,8 @@
     echo "$list"
 }
 
-# Settings of instance $1 of $2; $3 is more JSON members, each after a comma.
+# Writes the settings of instance $1 of $2; $3 is further JSON members, each preceded by a
+# comma.
 write_settings() {
     cat >"$work/entry-$1.json" <<JSON
 {
@@ -83,7 +84,7 @@
 JSON
 }
 
-# Declarations of the backend servers, into $work/workers.
+# Writes declarations of the backend servers to $work/workers.
 write_workers() {
     mkdir -p "$work/workers"
     local d n
@@ -98,18 +99,18 @@
     done
 }
 
-# Starts the platform's stand-in and the backend servers.
-start_stand_ins() {
+# Starts the fake platform and the fake backend servers.
+start_fakes() {
     platform=127.0.0.1:$base_port
     start platform $bin/trefoil-fake-platform --listen "$platform"
     local d
     for d in 0 1 2; do
         start "workers-$d" $bin/trefoil-fake-worker --listen "127.0.0.1:$(worker_port $d)" --count "${worker_counts[d]}" --slots 8
     done
-    wait_for "the platform's stand-in" curl -sf "http://$platform/fake/counters"
+    wait_for "the fake platform" curl -sf "http://$platform/fake/counters"
 }
 
-# Starts $1 instances with more settings $2, and waits until they are ready.
+# Starts $1 instances with further settings $2 and waits until they are ready.
 start_entries() {
     local i
     for ((i = 1; i <= $1; i++)); do
@@ -124,7 +125,7 @@
     export TREFOIL_ENTRIES=$entries
 }
 
-# Declares teams, services and backend servers, and waits for them to be in force.
+# Declares teams, services and backend servers, and waits until they are in force.
 declare_all() {
     write_workers
     $bin/trefoilctl apply -f examples/blue-mahoe --wait
