--- a/src/ops/error.rs
+++ b/src/ops/error.rs
@@ -7,6 +7,7 @@
 use trefoil_schema::api;
 
 /// The error of a failed subcommand.
+#[expect(missing_docs, reason = "most fields explain themselves")]
 #[derive(Debug, Display, Error)]
 pub enum OpsError {
     /// The command line is invalid.
@@ -15,20 +16,15 @@
         /// Why it is invalid.
         message: String,
     },
-    /// A file or directory cannot be read.
     #[display("could not read `{}`", path.display())]
     Read {
-        /// The file or directory.
         path: PathBuf,
-        /// Cause.
         source: std::io::Error,
     },
     /// The content of a file does not match the schema.
     #[display("`{}` is not valid", path.display())]
     InvalidFile {
-        /// The file.
         path: PathBuf,
-        /// Cause.
         source: ValidationError,
     },
     /// No entry accepted a connection, so nothing was sent.
@@ -48,7 +44,6 @@
         entry: String,
         /// Whether the request may have changed state or started a task.
         has_effects: bool,
-        /// Cause.
         source: TransportError,
     },
     /// The response has an error status.
@@ -64,11 +59,9 @@
     UnexpectedResponse {
         /// Method and path.
         request: String,
-        /// HTTP status code.
         status: StatusCode,
         /// Whether the request may have changed state or started a task.
         has_effects: bool,
-        /// Cause.
         source: serde_json::Error,
     },
     /// The timeout of a wait has passed.
@@ -87,6 +80,7 @@
 }
 
 /// Why a JSON document does not match the schema.
+#[expect(missing_docs, reason = "most fields explain themselves")]
 #[derive(Debug, Display, Error)]
 pub enum ValidationError {
     /// A syntax error, or a field of the wrong type.
@@ -94,7 +88,6 @@
     Json {
         /// Dotted path of the field.
         at: String,
-        /// Cause.
         source: serde_json::Error,
     },
     /// Fields have invalid values.
@@ -105,12 +98,7 @@
     },
     /// A resource is declared more than once.
     #[display("{kind} `{name}` is declared twice")]
-    Duplicate {
-        /// Kind of the resource.
-        kind: String,
-        /// Its name.
-        name: String,
-    },
+    Duplicate { kind: String, name: String },
 }
 
 /// An invalid field of a resource.
@@ -124,28 +112,24 @@
 }
 
 /// Why a request to an entry got no response.
+#[expect(missing_docs, reason = "most fields explain themselves")]
 #[derive(Debug, Display, Error)]
 pub enum TransportError {
     /// The connection failed, so nothing was sent.
     #[display("{entry}: cannot connect")]
     NotSent {
-        /// The entry.
         entry: String,
-        /// Cause.
         source: Box<dyn std::error::Error + Send + Sync>,
     },
     /// The connection was lost after the request may have been sent.
     #[display("{entry}: connection lost before the response")]
     Disconnected {
-        /// The entry.
         entry: String,
-        /// Cause.
         source: Box<dyn std::error::Error + Send + Sync>,
     },
     /// The request timed out after it may have been sent.
     #[display("{entry}: no response within {timeout_ms} ms")]
     TimedOut {
-        /// The entry.
         entry: String,
         /// The timeout, in milliseconds.
         timeout_ms: u64,
@@ -164,10 +148,10 @@
 }
 
 /// Exit status of `trefoilctl`.
+#[expect(missing_docs, reason = "`Ok` explains itself")]
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[repr(u8)]
 pub enum ExitStatus {
-    /// Success.
     Ok = 0,
     /// A failure that no other status describes.
     Failed = 1,
--- a/src/util/settings.rs
+++ b/src/util/settings.rs
@@ -27,34 +27,29 @@
 ];
 
 /// An invalid setting.
+#[expect(missing_docs, reason = "most fields explain themselves")]
 #[derive(Clone, Debug, Display, PartialEq, Eq)]
 #[display("{path}: found {found}; allowed: {allowed}")]
 pub struct InvalidSetting {
     /// Dotted path of the field.
     pub path: String,
-    /// The value found.
     pub found: String,
-    /// The values allowed.
     pub allowed: String,
 }
 
 /// Why settings cannot be loaded.
+#[expect(missing_docs, reason = "most fields explain themselves")]
 #[derive(Debug, Display, Error)]
 pub enum SettingsError {
     /// The file cannot be read.
     #[display("cannot read settings from {path}: {source}; hint: check --settings")]
     File {
-        /// Path of the file, from the command line.
         path: String,
-        /// Cause.
         source: std::io::Error,
     },
-    /// The file is not valid JSON.
     #[display("settings in {path} are not valid JSON: {source}")]
     Json {
-        /// Path of the file, from the command line.
         path: String,
-        /// The syntax error and its position.
         source: serde_json::Error,
     },
     /// Settings have the wrong type or a value out of range.
--- a/src/util/telemetry.rs
+++ b/src/util/telemetry.rs
@@ -30,26 +30,19 @@
 const SCOPE: &str = "trefoilbay";
 
 /// An error at the start of telemetry or when metrics are rendered.
+#[expect(missing_docs, reason = "most fields explain themselves")]
 #[derive(Debug, Display, Error)]
 pub enum TelemetryError {
     /// The Prometheus exporter could not be registered.
     #[display("cannot set up the Prometheus exporter: {source}")]
-    Prometheus {
-        /// Cause.
-        source: OTelSdkError,
-    },
+    Prometheus { source: OTelSdkError },
     /// Metrics could not be encoded as text.
     #[display("cannot encode metrics: {source}")]
-    Encode {
-        /// Cause.
-        source: prometheus::Error,
-    },
+    Encode { source: prometheus::Error },
     /// The OTLP exporter could not be built.
     #[display("cannot export to {endpoint}: {source}; hint: check telemetry.otlp_endpoint")]
     Export {
-        /// The configured endpoint.
         endpoint: String,
-        /// Cause.
         source: ExporterBuildError,
     },
 }
--- a/src/util/telemetry/metrics.rs
+++ b/src/util/telemetry/metrics.rs
@@ -89,13 +89,11 @@
 }
 
 /// A call to the platform's store. A watch counts once, however long it waits.
+#[expect(missing_docs, reason = "the variants explain themselves")]
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum StoreCall {
-    /// A range read.
     Range,
-    /// A compare-and-swap transaction.
     Txn,
-    /// A watch for changes.
     Watch,
 }
 
@@ -110,11 +108,10 @@
 }
 
 /// Direction of a message between instances.
+#[expect(missing_docs, reason = "the variants explain themselves")]
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Direction {
-    /// To a peer.
     Sent,
-    /// From a peer.
     Received,
 }
 
--- a/src/util/telemetry/totals.rs
+++ b/src/util/telemetry/totals.rs
@@ -38,6 +38,7 @@
 }
 
 /// Final outcome of a job.
+#[expect(missing_docs, reason = "`Cancelled` explains itself")]
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum JobOutcome {
     /// All tasks returned results.
@@ -46,7 +47,6 @@
     Failed,
     /// Failed by its deadline.
     Deadline,
-    /// Cancelled by its caller.
     Cancelled,
 }
 
