--- a/crates/core/tests/drain.rs
+++ b/crates/core/tests/drain.rs
@@ -1,6 +1,6 @@
-//! The phases of a planned stop, in virtual time.
+//! Phases of a planned stop, in virtual time.
 
-use trefoil_core::drain::{Drain, DrainState, Ending};
+use trefoil_core::drain::{Drain, DrainOutcome, DrainState};
 use trefoil_core::time::Now;
 use trefoil_schema::settings::DrainSettings;
 
@@ -23,10 +23,10 @@
 }
 
 #[test]
-fn serves_until_told_to_stop() {
+fn serves_until_a_stop_is_requested() {
     let mut drain = drain();
     assert_eq!(drain.step(at(1_000_000), 0), DrainState::Serving);
-    assert!(drain.is_ready() && drain.accepts());
+    assert!(drain.is_ready() && drain.accepts_work());
     assert_eq!(drain.next_step_ms(), None);
 }
 
@@ -36,9 +36,12 @@
     drain.signal(at(0));
     assert!(!drain.is_ready());
     drain.step(at(ANNOUNCE_MS - 1), 0);
-    assert!(drain.accepts(), "idle, but others may not have noticed yet");
+    assert!(
+        drain.accepts_work(),
+        "work must be accepted while the stop is announced"
+    );
     drain.step(at(ANNOUNCE_MS), 1);
-    assert!(!drain.accepts());
+    assert!(!drain.accepts_work());
     assert_eq!(drain.next_step_ms(), Some(START_MS + BUDGET_MS));
 }
 
@@ -50,7 +53,7 @@
     drain.step(at(ANNOUNCE_MS + 1), 1);
     assert!(matches!(drain.state(), DrainState::Refusing { .. }));
     let last = drain.step(at(ANNOUNCE_MS + 2), 0);
-    assert_eq!(last, DrainState::Finished(Ending::Drained));
+    assert_eq!(last, DrainState::Finished(DrainOutcome::Drained));
 }
 
 #[test]
@@ -63,11 +66,11 @@
     let early = drain.step(at(BUDGET_MS - 1), 1);
     assert!(matches!(early, DrainState::Refusing { .. }));
     let last = drain.step(at(BUDGET_MS), 1);
-    assert_eq!(last, DrainState::Finished(Ending::BudgetSpent));
+    assert_eq!(last, DrainState::Finished(DrainOutcome::BudgetSpent));
 }
 
 #[test]
-fn signal_ends_a_stop_in_any_phase() {
+fn second_signal_ends_a_stop_in_any_phase() {
     for (steps_ms, requested) in [(0, false), (ANNOUNCE_MS, false), (ANNOUNCE_MS, true)] {
         let mut drain = drain();
         match requested {
@@ -76,12 +79,12 @@
         };
         drain.step(at(steps_ms), 1);
         let last = drain.signal(at(steps_ms + 1));
-        assert_eq!(last, DrainState::Finished(Ending::AtOnce));
+        assert_eq!(last, DrainState::Finished(DrainOutcome::AtOnce));
     }
 }
 
 #[test]
-fn work_taken_while_announcing_is_counted_again() {
+fn in_flight_is_counted_again_after_new_work_is_refused() {
     let mut drain = drain();
     drain.signal(at(0));
     let first = drain.step(at(ANNOUNCE_MS), 0);
@@ -91,16 +94,16 @@
 }
 
 #[test]
-fn idle_instance_drains_even_when_the_budget_is_spent() {
+fn idle_instance_is_drained_even_if_the_budget_is_spent() {
     let mut drain = drain();
     drain.signal(at(0));
     drain.step(at(BUDGET_MS), 0);
     let last = drain.step(at(BUDGET_MS), 0);
-    assert_eq!(last, DrainState::Finished(Ending::Drained));
+    assert_eq!(last, DrainState::Finished(DrainOutcome::Drained));
 }
 
 #[test]
-fn budget_left_is_that_of_the_whole_stop() {
+fn remaining_budget_covers_the_whole_stop() {
     let mut drain = drain();
     assert_eq!(drain.budget_left_ms(at(0)), 0);
     drain.signal(at(0));
@@ -112,7 +115,7 @@
 }
 
 #[test]
-fn ending_is_final() {
+fn outcome_is_final() {
     let mut drain = drain();
     drain.signal(at(0));
     drain.step(at(ANNOUNCE_MS), 0);
@@ -120,11 +123,11 @@
     drain.signal(at(ANNOUNCE_MS));
     drain.request(at(ANNOUNCE_MS));
     let last = drain.step(at(BUDGET_MS), 7);
-    assert_eq!(last, DrainState::Finished(Ending::Drained));
+    assert_eq!(last, DrainState::Finished(DrainOutcome::Drained));
 }
 
 #[test]
-fn announcement_never_outlasts_the_budget() {
+fn announcement_does_not_exceed_the_budget() {
     let mut drain = Drain::new(&DrainSettings {
         announce_ms: 500,
         budget_ms: 100,
@@ -132,15 +135,15 @@
     drain.signal(at(0));
     drain.step(at(100), 1);
     let last = drain.step(at(100), 1);
-    assert_eq!(last, DrainState::Finished(Ending::BudgetSpent));
+    assert_eq!(last, DrainState::Finished(DrainOutcome::BudgetSpent));
 }
 
 #[test]
-fn any_history_is_within_the_budget_and_in_order() {
+fn phases_are_in_order_and_within_the_budget() {
     arbtest::arbtest(|u| {
         let mut drain = drain();
         let mut now_ms = 0;
-        let mut asked_ms = None;
+        let mut requested_ms = None;
         let mut rank = 0;
         for _ in 0..u.int_in_range(1..=40)? {
             now_ms += u.int_in_range(0..=300)?;
@@ -150,14 +153,14 @@
                 _ => drop(drain.step(at(now_ms), u.int_in_range(0..=2)?)),
             }
             if !drain.is_ready() {
-                asked_ms.get_or_insert(now_ms);
+                requested_ms.get_or_insert(now_ms);
             }
             let next = phase(drain.state());
-            assert!(next >= rank, "a stop never goes back");
+            assert!(next >= rank, "a stop must not return to an earlier phase");
             rank = next;
         }
-        if let Some(asked_ms) = asked_ms {
-            let end = at(now_ms.max(asked_ms + BUDGET_MS));
+        if let Some(requested_ms) = requested_ms {
+            let end = at(now_ms.max(requested_ms + BUDGET_MS));
             drain.step(end, 1);
             let last = drain.step(end, 1);
             assert!(matches!(last, DrainState::Finished(_)));
--- a/tests/testsuite/ctl_rollout.rs
+++ b/tests/testsuite/ctl_rollout.rs
@@ -7,7 +7,7 @@
 use trefoilbay::ops::error::{ExitStatus, OpsError};
 use trefoilbay::ops::rollout::{self, DeploymentStatus, InForce};
 
-use crate::support::api_stub::{ApiStub, ClosedAddress, instance, seen_by};
+use crate::support::api_stub::{ApiStub, ClosedAddress, instance_status, status_response};
 
 fn client(stubs: &[&ApiStub]) -> Client {
     client_of(stubs.iter().map(|stub| stub.address.clone()).collect())
@@ -25,11 +25,11 @@
 fn a_silent_instance_is_unknown_until_a_newer_status() {
     let mut deployment = DeploymentStatus::default();
     let seen = vec![
-        instance("a", Serving, 7, 0),
-        instance("b", Silent, 6, 900),
-        instance("c", Gone, 5, 9000),
+        instance_status("a", Serving, 7, 0),
+        instance_status("b", Silent, 6, 900),
+        instance_status("c", Gone, 5, 9000),
     ];
-    deployment.add(seen_by("a", 7, seen));
+    deployment.add(status_response("a", 7, seen));
     assert_eq!(
         deployment.in_force(&deployment.instances["b"], 7),
         InForce::Unknown
@@ -41,20 +41,27 @@
     assert!(!deployment.is_complete(7));
     assert_eq!(deployment.counts(7), (1, 2));
 
-    deployment.add(seen_by("b", 7, vec![instance("b", Leaving, 7, 0)]));
+    deployment.add(status_response(
+        "b",
+        7,
+        vec![instance_status("b", Leaving, 7, 0)],
+    ));
     assert!(deployment.is_complete(7));
 }
 
 #[test]
 fn a_restarted_instance_counts_by_its_newest_incarnation() {
     let mut deployment = DeploymentStatus::default();
-    let mut restarted = instance("b", Serving, 0, 50);
+    let mut restarted = instance_status("b", Serving, 0, 50);
     restarted.incarnation = 2;
-    deployment.add(seen_by("b", 0, vec![restarted]));
-    deployment.add(seen_by(
+    deployment.add(status_response("b", 0, vec![restarted]));
+    deployment.add(status_response(
         "a",
         7,
-        vec![instance("a", Serving, 7, 0), instance("b", Serving, 7, 10)],
+        vec![
+            instance_status("a", Serving, 7, 0),
+            instance_status("b", Serving, 7, 10),
+        ],
     ));
     assert_eq!(
         deployment.in_force(&deployment.instances["b"], 7),
@@ -71,11 +78,11 @@
 async fn wait_timeout_names_the_instances_that_lack_the_revision() {
     let stub = ApiStub::start().await;
     let seen = vec![
-        instance("a", Serving, 7, 0),
-        instance("b", Silent, 6, 900),
-        instance("c", Serving, 6, 5),
+        instance_status("a", Serving, 7, 0),
+        instance_status("b", Silent, 6, 900),
+        instance_status("c", Serving, 6, 5),
     ];
-    stub.set(|state| state.status = Some(seen_by("a", 7, seen)));
+    stub.set(|state| state.status = Some(status_response("a", 7, seen)));
     let error = rollout::wait(&client(&[&stub]), 7, 1, |_| ())
         .await
         .expect_err("not complete");
@@ -87,16 +94,31 @@
 async fn wait_ends_once_all_instances_have_the_revision() {
     let (a, b) = (ApiStub::start().await, ApiStub::start().await);
     a.set(|state| {
-        let seen = vec![instance("a", Serving, 7, 0), instance("b", Silent, 6, 900)];
-        state.status = Some(seen_by("a", 7, seen));
+        let seen = vec![
+            instance_status("a", Serving, 7, 0),
+            instance_status("b", Silent, 6, 900),
+        ];
+        state.status = Some(status_response("a", 7, seen));
+    });
+    b.set(|state| {
+        state.status = Some(status_response(
+            "b",
+            6,
+            vec![instance_status("b", Serving, 6, 0)],
+        ))
     });
-    b.set(|state| state.status = Some(seen_by("b", 6, vec![instance("b", Serving, 6, 0)])));
     let both = client(&[&a, &b]);
     let mut polls = 0;
     let waited = rollout::wait(&both, 7, 20_000, |deployment| {
         polls += 1;
         assert_eq!(deployment.is_complete(7), polls == 2);
-        b.set(|state| state.status = Some(seen_by("b", 7, vec![instance("b", Serving, 7, 0)])));
+        b.set(|state| {
+            state.status = Some(status_response(
+                "b",
+                7,
+                vec![instance_status("b", Serving, 7, 0)],
+            ))
+        });
     });
     waited.await.expect("complete at the second poll");
     assert_eq!(polls, 2);
--- a/tests/testsuite/telemetry_peers.rs
+++ b/tests/testsuite/telemetry_peers.rs
@@ -7,7 +7,7 @@
 use trefoilbay::util::telemetry::Telemetry;
 use trefoilbay::util::telemetry::trace::TRACEPARENT;
 
-use crate::support::pair::Pair;
+use crate::support::pair::InstancePair;
 use crate::telemetry::{RecordingExporter, SAMPLED, UNSAMPLED};
 
 /// Spans of a job that another instance forwarded to its owner, outermost first.
@@ -66,16 +66,16 @@
     let worker = tokio::spawn(poem::Server::new_with_acceptor(acceptor).run(worker()));
     let exporter = RecordingExporter::default();
     let telemetry = |settings: &_| Telemetry::with_traces(settings, exporter.traces(0)).unwrap();
-    let pair = Pair::start(address, telemetry).await;
+    let pair = InstancePair::start(address, telemetry).await;
 
-    let key = pair.key().await;
+    let key = pair.mint_key().await;
     for entry in pair.entries {
         pair.submit(entry, &key, UNSAMPLED).await;
     }
     assert!(exporter.spans.lock().unwrap().is_empty());
     for _ in 0..KEYS_MAX {
         exporter.spans.lock().unwrap().clear();
-        let key = pair.key().await;
+        let key = pair.mint_key().await;
         let answer = pair.submit(pair.entries[0], &key, SAMPLED).await;
         let spans = exporter.spans.lock().unwrap().clone();
         let chain = span_chain(&spans, &SAMPLED[36..52]);
