--- a/examples/link_rate/links.rs
+++ b/examples/link_rate/links.rs
@@ -183,9 +183,9 @@
     let kib = proc_status("VmRSS").saturating_sub(before_kib) as f64 / FOOTPRINT_PEERS as f64;
     println!("{FOOTPRINT_PEERS} links: {kib:.1} KiB per link, both ends");
     println!("threads with them: {:?}", threads_by_name());
-    let (started, cpu_start_ns) = (Instant::now(), cpu_ns());
+    let start = (Instant::now(), cpu_ns());
     tokio::time::sleep(Duration::from_secs(2)).await;
-    let share = (cpu_ns() - cpu_start_ns) as f64 / started.elapsed().as_nanos() as f64;
+    let share = (cpu_ns() - start.1) as f64 / start.0.elapsed().as_nanos() as f64;
     println!("idle: {:.3} % of a core", share * 100.0);
 }
 
--- a/src/bin/trefoilctl/commands/drain.rs
+++ b/src/bin/trefoilctl/commands/drain.rs
@@ -9,7 +9,7 @@
 
 pub fn cli() -> Command {
     Command::new("drain")
-        .about("Drains an instance and stops it")
+        .about("Starts draining an instance, which then stops")
         .arg(cli::positional(
             "instance",
             "IP:PORT",
