--- a/src/http/caller.rs
+++ b/src/http/caller.rs
@@ -27,7 +27,7 @@
 
 use crate::runtime::RequestContext;
 use crate::runtime::dispatch::Dispatcher;
-use crate::util::telemetry::trace::{Hop, note_answer};
+use crate::util::telemetry::trace::{Hop, record_answer};
 use answer::Operation;
 use request::{CheckedJob, JobSubmission, RequestError};
 
@@ -127,16 +127,16 @@
 ) -> JobAnswer {
     let parent = request::traceparent(headers);
     let mut span = dispatch.span(Hop::Entry, parent.as_deref());
-    if span.is_taken() {
-        span.set("service", job.submission.service.to_string());
-        span.set("tasks", job.submission.tasks.len() as i64);
+    if span.is_recording() {
+        span.set_attribute("service", job.submission.service.to_string());
+        span.set_attribute("tasks", job.submission.tasks.len() as i64);
     }
     let request = RequestContext {
-        traceparent: span.header(parent),
+        traceparent: span.outgoing_traceparent(parent),
         received_at: Some(received_at),
     };
     let answer = dispatch.submit(job.submission, job.wait, request).await;
-    note_answer(&mut span, &answer);
+    record_answer(&mut span, &answer);
     answer
 }
 
--- a/src/runtime.rs
+++ b/src/runtime.rs
@@ -128,7 +128,7 @@
     /// Opens a span for one hop of a request; a no-op without telemetry.
     pub fn span(&self, hop: Hop, header: Option<&str>) -> HopSpan {
         match &self.telemetry {
-            Some(telemetry) => telemetry.span_below(hop, header),
+            Some(telemetry) => telemetry.span_from_header(hop, header),
             None => HopSpan::default(),
         }
     }
@@ -167,7 +167,7 @@
     fn record_admission_overhead(&self, received_at: Option<Instant>) {
         if let (Some(telemetry), Some(received_at)) = (&self.telemetry, received_at) {
             let overhead_us = received_at.elapsed().as_secs_f64() * 1e6;
-            telemetry.counters().admitted(overhead_us);
+            telemetry.metrics().record_admission_overhead(overhead_us);
         }
     }
 
--- a/src/server.rs
+++ b/src/server.rs
@@ -117,7 +117,7 @@
     info!(context.log, "stopped"; "ending" => %outcome);
     if outcome == DrainOutcome::Drained {
         let limit = context.drain.budget_left();
-        context.telemetry.stop(limit).await;
+        context.telemetry.shutdown(limit).await;
     }
     Ok(outcome)
 }
--- a/src/server/components.rs
+++ b/src/server/components.rs
@@ -165,7 +165,7 @@
         if snapshot.revision > 0 {
             context
                 .telemetry
-                .counters()
+                .metrics()
                 .set_config_revision(snapshot.revision);
             components.runtime.set_config(snapshot);
             context.set_configured();
@@ -195,7 +195,7 @@
             has_announced_leaving = true;
         }
         let stats = components.runtime.engine().stats();
-        reporter.report(&components, &stats, context.telemetry.counters());
+        reporter.report(&components, &stats, context.telemetry.metrics());
         match state {
             DrainState::Serving | DrainState::Announcing { .. } => {}
             // One period later, so that no admission is still in progress.
--- a/src/server/metrics.rs
+++ b/src/server/metrics.rs
@@ -8,7 +8,7 @@
 use super::components::Components;
 use crate::peers::Peers;
 use crate::sources::platform::etcd::CallKind;
-use crate::util::telemetry::counters::{Counters, Levels, StoreCall, WastedMessage};
+use crate::util::telemetry::metrics::{Gauges, Metrics, StoreCall, WastedMessage};
 use crate::util::telemetry::totals::{Total, Totals};
 
 /// Periods between counts of the instances, which copy the whole list.
@@ -35,14 +35,14 @@
         &mut self,
         components: &Components,
         stats: &EngineStats,
-        counters: &Counters,
+        metrics: &Metrics,
     ) {
         let totals = totals(components, stats);
-        counters.advance(&self.totals, &totals);
+        metrics.record_totals(&self.totals, &totals);
         self.totals = totals;
-        counters.set_levels(&levels(&components.peers, stats));
+        metrics.set_gauges(&gauges(&components.peers, stats));
         if self.periods.is_multiple_of(PERIODS_PER_INSTANCE_COUNT) {
-            count_instances(&components.peers, counters);
+            count_instances(&components.peers, metrics);
         }
         self.periods += 1;
     }
@@ -50,8 +50,8 @@
 
 fn totals(components: &Components, stats: &EngineStats) -> Totals {
     let mut totals = Totals::default();
-    totals.push_engine(stats);
-    totals.push_links(&components.peers.links().stats());
+    totals.push_engine_stats(stats);
+    totals.push_link_stats(&components.peers.links().stats());
     push_store(&mut totals, components);
     let workers = components.runtime.workers().counters();
     let peers = components.peers.counters();
@@ -86,8 +86,8 @@
     totals.push(Total::StoreFailures, calls.failed());
 }
 
-fn levels(peers: &Peers, stats: &EngineStats) -> Levels {
-    Levels {
+fn gauges(peers: &Peers, stats: &EngineStats) -> Gauges {
+    Gauges {
         keys: stats.keys,
         jobs_running: stats.jobs_running,
         tasks_queued: stats.tasks_queued,
@@ -100,10 +100,10 @@
     }
 }
 
-fn count_instances(peers: &Peers, counters: &Counters) {
+fn count_instances(peers: &Peers, metrics: &Metrics) {
     let instances = peers.status().instances;
     for (state, label) in STATES {
         let count = instances.iter().filter(|one| one.state == state).count();
-        counters.set_instances(label, count as u64);
+        metrics.set_instances(label, count as u64);
     }
 }
--- a/src/util/telemetry.rs
+++ b/src/util/telemetry.rs
@@ -1,9 +1,9 @@
-//! Metrics and traces by OpenTelemetry.
+//! Metrics and traces with OpenTelemetry.
 //!
-//! Metrics are always collected and shown as a Prometheus page; with a
-//! collector's address they are pushed as well, and traces are taken.
+//! Metrics are always collected and served in the Prometheus text format. If an
+//! OTLP endpoint is configured, metrics and traces are exported to it.
 
-pub mod counters;
+pub mod metrics;
 mod otlp;
 pub mod totals;
 pub mod trace;
@@ -20,36 +20,29 @@
 use prometheus::{Encoder, Registry, TextEncoder};
 use trefoil_schema::settings::Settings;
 
-use counters::Counters;
+use metrics::Metrics;
 use trace::{Hop, HopSpan, TraceParent, Traces};
 
-/// Longest wait for what is pending at the stop.
-const STOP_MAX: Duration = Duration::from_millis(1000);
+/// Upper bound of the final export at shutdown.
+const SHUTDOWN_TIMEOUT: Duration = Duration::from_millis(1000);
 const SERVICE_NAME: &str = "trefoild";
-/// Names the origin of instruments and spans.
+/// Instrumentation scope of instruments and spans.
 const SCOPE: &str = "trefoilbay";
 
-/// Why telemetry cannot start or report.
+/// An error at the start of telemetry or when metrics are rendered.
+#[expect(missing_docs, reason = "most fields explain themselves")]
 #[derive(Debug, Display, Error)]
 pub enum TelemetryError {
-    /// The Prometheus exporter refused the registry.
-    #[display("cannot start the metrics page: {source}")]
-    Page {
-        /// What the exporter said.
-        source: OTelSdkError,
-    },
-    /// The registry could not be written as text.
-    #[display("cannot write the metrics page: {source}")]
-    Encode {
-        /// What the encoder said.
-        source: prometheus::Error,
-    },
-    /// The collector's address does not work.
+    /// The Prometheus exporter could not be registered.
+    #[display("cannot set up the Prometheus exporter: {source}")]
+    Prometheus { source: OTelSdkError },
+    /// Metrics could not be encoded as text.
+    #[display("cannot encode metrics: {source}")]
+    Encode { source: prometheus::Error },
+    /// The OTLP exporter could not be built.
     #[display("cannot export to {endpoint}: {source}; hint: check telemetry.otlp_endpoint")]
     Export {
-        /// The address asked for.
         endpoint: String,
-        /// What the exporter said.
         source: ExporterBuildError,
     },
 }
@@ -59,16 +52,16 @@
 pub struct Telemetry {
     registry: Registry,
     meters: SdkMeterProvider,
-    counters: Counters,
+    metrics: Metrics,
     traces: Traces,
 }
 
 impl Telemetry {
-    /// Starts what `settings` ask for; with a collector's address this must be
-    /// called on a tokio runtime.
+    /// Starts telemetry as configured. With an OTLP endpoint, this must be called
+    /// within a tokio runtime.
     pub fn start(settings: &Settings) -> Result<Self, TelemetryError> {
         let traces = match settings.telemetry.otlp_endpoint.as_str() {
-            "" => Traces::off(),
+            "" => Traces::disabled(),
             _ => Traces::new(
                 otlp::tracer_provider(settings, resource(settings))?,
                 settings.telemetry.trace_sample_percent,
@@ -77,48 +70,46 @@
         Self::with_traces(settings, traces)
     }
 
-    /// As [`Self::start`], with spans handled by `traces`.
+    /// Like [`Self::start`], with spans created by `traces`.
     pub fn with_traces(settings: &Settings, traces: Traces) -> Result<Self, TelemetryError> {
         let registry = Registry::new();
-        let page = opentelemetry_prometheus::exporter()
+        let prometheus = opentelemetry_prometheus::exporter()
             .with_registry(registry.clone())
             .build()
-            .map_err(|source| TelemetryError::Page { source })?;
+            .map_err(|source| TelemetryError::Prometheus { source })?;
         let meters = SdkMeterProvider::builder()
             .with_resource(resource(settings))
-            .with_reader(page);
+            .with_reader(prometheus);
         let meters = match settings.telemetry.otlp_endpoint.as_str() {
             "" => meters.build(),
             _ => meters.with_reader(otlp::metric_reader(settings)?).build(),
         };
-        let counters = Counters::new(&meters.meter(SCOPE));
+        let metrics = Metrics::new(&meters.meter(SCOPE));
         Ok(Self {
             registry,
             meters,
-            counters,
+            metrics,
             traces,
         })
     }
 
-    /// The instance's counters.
-    pub fn counters(&self) -> &Counters {
-        &self.counters
+    /// The metric instruments.
+    pub fn metrics(&self) -> &Metrics {
+        &self.metrics
     }
 
-    /// A span for one hop; see [`Traces::span`].
+    /// Starts a span for a hop; see [`Traces::span`].
     pub fn span(&self, hop: Hop, parent: Option<TraceParent>) -> HopSpan {
         self.traces.span(hop, parent)
     }
 
-    /// A span for a hop whose parent is in a header; see [`Traces::span`].
-    ///
-    /// The header is read only if there is one.
-    pub fn span_below(&self, hop: Hop, header: Option<&str>) -> HopSpan {
+    /// Starts a span whose parent is in a `traceparent` header; see [`Traces::span`].
+    pub fn span_from_header(&self, hop: Hop, header: Option<&str>) -> HopSpan {
         self.span(hop, header.and_then(TraceParent::parse))
     }
 
-    /// The metrics as a Prometheus text page.
-    pub fn page(&self) -> Result<String, TelemetryError> {
+    /// Renders the metrics in the Prometheus text format.
+    pub fn metrics_page(&self) -> Result<String, TelemetryError> {
         let mut text = Vec::new();
         TextEncoder::new()
             .encode(&self.registry.gather(), &mut text)
@@ -126,15 +117,15 @@
         Ok(String::from_utf8_lossy(&text).into_owned())
     }
 
-    /// Sends what is pending, within `limit`; called once, last.
-    pub async fn stop(&self, limit: Duration) {
+    /// Exports pending metrics and spans within `limit`. To be called once, at the end.
+    pub async fn shutdown(&self, limit: Duration) {
         let (meters, traces) = (self.meters.clone(), self.traces.clone());
-        // The providers block while they send, which must not hold up tasks.
-        let sent = tokio::task::spawn_blocking(move || {
-            traces.stop();
+        // The providers block while they export.
+        let export = tokio::task::spawn_blocking(move || {
+            traces.shutdown();
             meters.shutdown()
         });
-        drop(tokio::time::timeout(STOP_MAX.min(limit), sent).await);
+        drop(tokio::time::timeout(SHUTDOWN_TIMEOUT.min(limit), export).await);
     }
 }
 
