--- a/src/links/queue.rs
+++ b/src/links/queue.rs
@@ -7,7 +7,7 @@
 use trefoil_schema::peer::{Message, message::Body};
 
 use super::settings::LinkSettings;
-use crate::util::clock::whole_ms;
+use crate::util::clock::duration_ms;
 
 struct QueuedMessage {
     queued_at: Instant,
@@ -92,7 +92,7 @@
 
 /// Subtracts the time that a message was queued from its timeout.
 fn reduce_timeout(message: &mut Message, queued: Duration) {
-    let queued_ms = whole_ms(queued);
+    let queued_ms = duration_ms(queued);
     match &mut message.body {
         Some(Body::ForwardJob(job)) => {
             job.timeout_ms = job.timeout_ms.saturating_sub(queued_ms);
--- a/src/peers.rs
+++ b/src/peers.rs
@@ -48,7 +48,7 @@
 
 use crate::links::{LinkError, LinkSettings, Links};
 use crate::runtime::Runtime;
-use crate::server::stop::StopControl;
+use crate::server::drain::DrainController;
 use crate::sources::config::ConfigHandle;
 use crate::sources::instances::InstanceList;
 use crate::sources::platform::PlatformStore;
@@ -89,7 +89,7 @@
     pub(crate) config: ConfigHandle,
     pub(crate) runtime: Arc<Runtime>,
     /// Counts the requests that a planned stop waits for.
-    pub(crate) stop: Arc<StopControl>,
+    pub(crate) stop: Arc<DrainController>,
     pub(crate) log: Logger,
 }
 
--- a/src/peers/forward.rs
+++ b/src/peers/forward.rs
@@ -16,9 +16,9 @@
 
 use super::{Peers, convert};
 use crate::links::LinkError;
-use crate::runtime::Arrival;
-use crate::util::clock::whole_ms;
-use crate::util::telemetry::trace::{Hop, note_answer};
+use crate::runtime::RequestContext;
+use crate::util::clock::duration_ms;
+use crate::util::telemetry::trace::{Hop, record_answer};
 
 /// Interval of checks whether the owner still owns the key.
 const CHECK_INTERVAL: Duration = Duration::from_millis(250);
@@ -50,11 +50,15 @@
         &self,
         submission: Submission,
         wait: bool,
-        arrival: Arrival,
+        request_context: RequestContext,
     ) -> JobAnswer {
         let owner = match self.route(&submission.key) {
             Route::Local => {
-                return self.context.runtime.submit(submission, wait, arrival).await;
+                return self
+                    .context
+                    .runtime
+                    .submit(submission, wait, request_context)
+                    .await;
             }
             Route::Peer(owner) => owner,
             Route::OwnerLost => {
@@ -73,11 +77,11 @@
         let mut span = self
             .context
             .runtime
-            .span(Hop::Peer, arrival.traceparent.as_deref());
-        if span.is_taken() {
-            span.set("peer", owner.name.clone());
+            .span(Hop::Peer, request_context.traceparent.as_deref());
+        if span.is_recording() {
+            span.set_attribute("peer", owner.name.clone());
         }
-        let traceparent = span.header(arrival.traceparent);
+        let traceparent = span.outgoing_traceparent(request_context.traceparent);
         let traceparent = traceparent.as_deref().unwrap_or_default();
         let limit_ms = submission.timeout_ms + ANSWER_GRACE_MS;
         let request = OwnerRequest::Submit {
@@ -88,7 +92,7 @@
         let answer = self
             .request_owner(&owner, &submission.key, &request, limit_ms)
             .await;
-        note_answer(&mut span, &answer);
+        record_answer(&mut span, &answer);
         answer
     }
 
@@ -202,7 +206,7 @@
                 traceparent,
             } => {
                 let mut job = convert::forward_job(request_id, submission, *wait, traceparent);
-                let elapsed_ms = whole_ms(started.elapsed());
+                let elapsed_ms = duration_ms(started.elapsed());
                 job.timeout_ms = job.timeout_ms.saturating_sub(elapsed_ms);
                 Body::ForwardJob(job)
             }
--- a/src/peers/recall.rs
+++ b/src/peers/recall.rs
@@ -82,6 +82,8 @@
             None => owner_lost(),
         };
         let runtime = &self.context.runtime;
-        runtime.recall(key, fingerprint, answer_if_absent).await
+        runtime
+            .answer_without_admission(key, fingerprint, answer_if_absent)
+            .await
     }
 }
--- a/src/peers/serve.rs
+++ b/src/peers/serve.rs
@@ -13,8 +13,8 @@
 
 use super::{Peers, convert, forward};
 use crate::links::Incoming;
-use crate::runtime::Arrival;
-use crate::util::telemetry::trace::{Hop, note_answer};
+use crate::runtime::RequestContext;
+use crate::util::telemetry::trace::{Hop, record_answer};
 
 /// Retry delay for an instance that sent a request to the wrong owner.
 const WRONG_OWNER_RETRY_MS: u64 = 250;
@@ -99,32 +99,41 @@
 
     /// Runs a job in a child span of the sending instance's span.
     async fn run_job(self: &Arc<Self>, from: &InstanceRef, job: ForwardJob) -> JobAnswer {
-        let whole_at = Some(Instant::now());
+        let received_at = Some(Instant::now());
         let header = job.traceparent.as_str();
         let received = (!header.is_empty()).then(|| Arc::<str>::from(header));
         let mut span = self
             .context
             .runtime
-            .span(Hop::PeerServed, received.as_deref());
-        if span.is_taken() {
-            span.set("peer", from.name.clone());
+            .span(Hop::PeerServer, received.as_deref());
+        if span.is_recording() {
+            span.set_attribute("peer", from.name.clone());
         }
-        let arrival = Arrival {
-            traceparent: span.header(received),
-            whole_at,
+        let request_context = RequestContext {
+            traceparent: span.outgoing_traceparent(received),
+            received_at,
         };
-        let answer = self.admit_job(job, arrival).await;
-        note_answer(&mut span, &answer);
+        let answer = self.admit_job(job, request_context).await;
+        record_answer(&mut span, &answer);
         answer
     }
 
-    async fn admit_job(self: &Arc<Self>, job: ForwardJob, arrival: Arrival) -> JobAnswer {
+    async fn admit_job(
+        self: &Arc<Self>,
+        job: ForwardJob,
+        request_context: RequestContext,
+    ) -> JobAnswer {
         let wait = job.wait;
         let Ok(submission) = convert::submission(job) else {
             return JobAnswer::Refused(forward::unknown_owner(0));
         };
         match self.route(&submission.key) {
-            Route::Local => self.context.runtime.submit(submission, wait, arrival).await,
+            Route::Local => {
+                self.context
+                    .runtime
+                    .submit(submission, wait, request_context)
+                    .await
+            }
             Route::OwnerLost => {
                 let fingerprint = Some(submission.fingerprint);
                 self.recall_here(&submission.key, fingerprint).await
--- a/src/server/observe.rs
+++ b/src/server/observe.rs
@@ -1,4 +1,4 @@
-//! Counts and traces callers' submissions, and reports the parts' totals.
+//! Metrics and traces of callers' submissions.
 
 use std::sync::Arc;
 
@@ -8,17 +8,17 @@
 use trefoil_core::engine::{FailureReason, JobState};
 
 use super::Context;
-use crate::http::problem::Reason;
+use crate::http::problem::ProblemReason;
 use crate::peers::convert::FAILURE_UNKNOWN;
-use crate::util::telemetry::counters::Counters;
+use crate::util::telemetry::metrics::Metrics;
 use crate::util::telemetry::trace::{Hop, HopSpan, TRACEPARENT, TraceParent};
 
 const SUBMISSION_PATH: &str = "/v1/jobs";
 
-/// Counts a submission, times its answer, and takes the caller's span.
+/// Counts a submission, measures its response time and opens its span.
 ///
-/// What follows finds the span as the request's `traceparent`.
-pub(super) async fn observe<E: Endpoint>(
+/// The span is passed to later handlers in the request's `traceparent`.
+pub(super) async fn observe_submission<E: Endpoint>(
     next: Arc<E>,
     mut request: Request,
 ) -> poem::Result<Response> {
@@ -28,45 +28,45 @@
         return Ok(next.get_response(request).await);
     };
     let start = Instant::now();
-    let counters = context.telemetry.counters();
-    counters.job_submitted();
-    let mut span = context.telemetry.span(Hop::Caller, parent(&request));
-    pass_on(&span, &mut request);
+    let metrics = context.telemetry.metrics();
+    metrics.record_submission();
+    let mut span = context.telemetry.span(Hop::Caller, parent_span(&request));
+    propagate_span(&span, &mut request);
     let response = next.get_response(request).await;
-    span.set("http.status", i64::from(response.status().as_u16()));
+    span.set_attribute("http.status", i64::from(response.status().as_u16()));
     if response.status().is_server_error() {
-        span.fail("answered with an error");
+        span.set_error("answered with an error");
     }
-    count_answer(counters, &response, start);
+    count_answer(metrics, &response, start);
     Ok(response)
 }
 
-fn parent(request: &Request) -> Option<TraceParent> {
+fn parent_span(request: &Request) -> Option<TraceParent> {
     request.header(TRACEPARENT).and_then(TraceParent::parse)
 }
 
-fn pass_on(span: &HopSpan, request: &mut Request) {
-    let parent = span.next_parent().filter(|_| span.is_taken());
+fn propagate_span(span: &HopSpan, request: &mut Request) {
+    let parent = span.trace_parent().filter(|_| span.is_recording());
     let header = parent.map(|parent| HeaderValue::try_from(parent.to_string()));
     if let Some(Ok(header)) = header {
         request.headers_mut().insert(TRACEPARENT, header);
     }
 }
 
-fn count_answer(counters: &Counters, response: &Response, start: Instant) {
-    let reason = response.data::<Reason>();
+fn count_answer(metrics: &Metrics, response: &Response, start: Instant) {
+    let reason = response.data::<ProblemReason>();
     match final_state(response.status(), reason) {
         Some(JobState::Running) => {}
         Some(state) => {
             let response_ms = start.elapsed().as_secs_f64() * 1_000.0;
-            counters.answered(state, response_ms);
+            metrics.record_response_time(state, response_ms);
         }
-        None => counters.refused(reason.map_or("other", |reason| &reason.0)),
+        None => metrics.record_refusal(reason.map_or("other", |reason| &reason.0)),
     }
 }
 
-/// State of the job behind an answer; `None` for a refusal.
-fn final_state(status: StatusCode, reason: Option<&Reason>) -> Option<JobState> {
+/// State of the job that a response reports; `None` for a refusal.
+fn final_state(status: StatusCode, reason: Option<&ProblemReason>) -> Option<JobState> {
     if status == StatusCode::ACCEPTED {
         return Some(JobState::Running);
     }
@@ -79,7 +79,7 @@
     }
     match reason.parse().ok()? {
         FailureReason::Cancelled => Some(JobState::Cancelled),
-        // The job completed; this caller cannot have its results.
+        // Counted as a refusal: the job completed, but its results are gone.
         FailureReason::ResultDropped => None,
         FailureReason::TaskFailed
         | FailureReason::TaskLost
