--- a/examples/link_rate/links.rs
+++ b/examples/link_rate/links.rs
@@ -21,7 +21,7 @@
     let listen = listener.local_addr().unwrap();
     drop(listener);
     let settings = LinkSettings {
-        me: instance_ref(name),
+        local_instance: instance_ref(name),
         listen,
         ..LinkSettings::default()
     };
--- a/src/http/operator/write.rs
+++ b/src/http/operator/write.rs
@@ -15,7 +15,7 @@
 use super::render::{Declaration, Renderer, Source, json_with_etag};
 use super::{Collection, OperatorContext, problems};
 use crate::http::problem::Problem;
-use crate::sources::config::write::{WriteError, replace};
+use crate::sources::config::write::{WriteError, write_if_unchanged};
 use crate::sources::platform::KeyValue;
 
 /// Maximum size of a declaration's body, in bytes.
@@ -118,7 +118,7 @@
     value: Option<Bytes>,
 ) -> Result<u64, WriteError> {
     let store_key = context.config.store_key(key);
-    replace(
+    write_if_unchanged(
         context.store.as_ref(),
         &context.platform,
         &store_key,
--- a/src/peers/counters.rs
+++ b/src/peers/counters.rs
@@ -1,28 +1,28 @@
-//! Counts of messages between instances that brought no answer.
+//! Counters of wasted messages between instances.
 
 use std::sync::atomic::{AtomicU64, Ordering};
 
 /// Counters since the start.
 #[derive(Debug, Default)]
-pub struct PeerCounters {
+pub(crate) struct PeerCounters {
     misrouted: AtomicU64,
     reasked: AtomicU64,
     stale_answers: AtomicU64,
 }
 
 impl PeerCounters {
-    /// Jobs that came here and belong elsewhere.
-    pub fn misrouted(&self) -> u64 {
+    /// Forwarded jobs that this instance does not own.
+    pub(crate) fn misrouted(&self) -> u64 {
         self.misrouted.load(Ordering::Relaxed)
     }
 
-    /// Requests sent to a key's owner once more.
-    pub fn reasked(&self) -> u64 {
+    /// Repeated requests to the owner of a key.
+    pub(crate) fn reasked(&self) -> u64 {
         self.reasked.load(Ordering::Relaxed)
     }
 
-    /// Answers that nobody waits for: late or doubled.
-    pub fn stale_answers(&self) -> u64 {
+    /// Answers without an open request: late or duplicate ones.
+    pub(crate) fn stale_answers(&self) -> u64 {
         self.stale_answers.load(Ordering::Relaxed)
     }
 
--- a/src/peers/pending.rs
+++ b/src/peers/pending.rs
@@ -7,31 +7,31 @@
 use tokio::sync::mpsc;
 use trefoil_schema::peer::JobAnswer;
 
-/// Shards of the table, each under its own lock.
+/// Number of shards of the table, each with its own lock.
 const SHARDS: usize = 16;
-/// Answers that one request holds until it reads them.
+/// Number of answers buffered for a request.
 const ANSWERS_MAX: usize = 4;
 
 type Shard = HashMap<u64, mpsc::Sender<JobAnswer>>;
 
-/// Open requests by number.
+/// Open requests by ID.
 #[derive(Debug, Default)]
-pub struct PendingTable {
+pub(super) struct PendingTable {
     next_id: AtomicU64,
     shards: [Mutex<Shard>; SHARDS],
 }
 
-/// One open request; dropping it forgets the request.
+/// An open request; it is closed when dropped.
 #[derive(Debug)]
-pub struct PendingRequest<'a> {
+pub(super) struct PendingRequest<'a> {
     table: &'a PendingTable,
     id: u64,
     answers: mpsc::Receiver<JobAnswer>,
 }
 
 impl PendingTable {
-    /// Opens a request under a number that was not used before.
-    pub fn open(&self) -> PendingRequest<'_> {
+    /// Opens a request with a unique ID.
+    pub(super) fn open(&self) -> PendingRequest<'_> {
         let id = self.next_id.fetch_add(1, Ordering::Relaxed) + 1;
         let (sender, answers) = mpsc::channel(ANSWERS_MAX);
         self.shard(id).insert(id, sender);
@@ -42,8 +42,9 @@
         }
     }
 
-    /// Gives an answer to its request; false where none is open.
-    pub fn answer(&self, answer: JobAnswer) -> bool {
+    /// Passes an answer to its request; returns `false` if the request is not open or
+    /// its buffer is full.
+    pub(super) fn answer(&self, answer: JobAnswer) -> bool {
         let shard = self.shard(answer.request_id);
         let Some(sender) = shard.get(&answer.request_id) else {
             return false;
@@ -60,13 +61,13 @@
 }
 
 impl PendingRequest<'_> {
-    /// Number of the request.
-    pub fn id(&self) -> u64 {
+    /// The request ID to send in the message.
+    pub(super) fn id(&self) -> u64 {
         self.id
     }
 
-    /// The next answer.
-    pub async fn next(&mut self) -> Option<JobAnswer> {
+    /// Waits for the next answer.
+    pub(super) async fn next(&mut self) -> Option<JobAnswer> {
         self.answers.recv().await
     }
 }
--- a/src/server/components.rs
+++ b/src/server/components.rs
@@ -27,7 +27,7 @@
 use crate::sources::config::{ConfigHandle, ConfigSync};
 use crate::sources::instances;
 use crate::sources::platform::PlatformStore;
-use crate::sources::platform::etcd::EtcdJson;
+use crate::sources::platform::etcd::EtcdClient;
 use crate::workers::WorkerClient;
 
 /// Interval between checks of the drain, and between updates of the metrics.
@@ -41,7 +41,7 @@
 
 /// The components that serve requests.
 pub struct Components {
-    pub(super) etcd: EtcdJson,
+    pub(super) etcd: EtcdClient,
     pub(super) runtime: Arc<Runtime>,
     pub(super) peers: Arc<Peers>,
     store: Arc<dyn PlatformStore>,
@@ -57,7 +57,7 @@
     /// Fails if the peer address cannot be bound.
     pub fn start(context: &Arc<Context>) -> Result<Arc<Self>, ServerError> {
         let settings = &context.settings;
-        let etcd = EtcdJson::new(settings);
+        let etcd = EtcdClient::new(settings);
         let store: Arc<dyn PlatformStore> = Arc::new(etcd.clone());
         let config = ConfigSync::start(store.clone(), settings, context.log.clone());
         let engine = Engine::new(EngineSettings::from(settings));
@@ -189,7 +189,7 @@
         ticks.tick().await;
         let state = context.drain.state();
         if state == DrainState::Serving {
-            context.set_in_view(components.peers.in_force());
+            context.set_in_view(components.peers.in_view());
         } else if !has_announced_leaving {
             components.peers.leave();
             has_announced_leaving = true;
@@ -217,6 +217,6 @@
 async fn hand_over(context: Arc<Context>, components: Arc<Components>, hold: DrainHold) {
     let left = context.drain.budget_left().saturating_sub(CLOSE_RESERVE);
     components.peers.hand_over(left.min(HANDOVER_TIMEOUT)).await;
-    components.peers.say_gone();
+    components.peers.announce_exit();
     drop(hold);
 }
--- a/tests/testsuite/metrics.rs
+++ b/tests/testsuite/metrics.rs
@@ -183,12 +183,12 @@
 async fn misrouted_and_stale_peer_messages_are_counted() {
     let worker = Worker::start().await;
     let pair = start_pair(&worker).await;
-    let me = InstanceRef {
+    let local_instance = InstanceRef {
         name: "stranger".to_owned(),
         incarnation: 1,
     };
     let settings = LinkSettings {
-        me,
+        local_instance,
         ..LinkSettings::default()
     };
     let log = Logger::root(Discard, o!());
--- a/tests/testsuite/support/api_stub.rs
+++ b/tests/testsuite/support/api_stub.rs
@@ -25,7 +25,7 @@
 use trefoilbay::http::problem::Problem;
 use trefoilbay::sources::config::ConfigSync;
 use trefoilbay::sources::platform::PlatformStore;
-use trefoilbay::sources::platform::etcd::EtcdJson;
+use trefoilbay::sources::platform::etcd::EtcdClient;
 
 /// The key that the stub returns from `/v1/keys`.
 pub const MINTED_KEY: &str = "01890a5d-ac96-8abc-8000-000000000001";
@@ -139,7 +139,7 @@
         },
         ..Settings::default()
     };
-    let store: Arc<dyn PlatformStore> = Arc::new(EtcdJson::new(&settings));
+    let store: Arc<dyn PlatformStore> = Arc::new(EtcdClient::new(&settings));
     let log = Logger::root(Discard, o!());
     let config = ConfigSync::start(Arc::clone(&store), &settings, log);
     let status = {
