--- a/crates/instance/src/instance/peers.rs
+++ b/crates/instance/src/instance/peers.rs
@@ -214,7 +214,7 @@
                 Ok(Some(frame)) => self.on_frame(id, frame),
                 Ok(None) => break,
                 Err(error) => {
-                    warn!(self.log, "cannot read from a link"; "error" => %error);
+                    warn!(self.log, "link error"; "error" => %error);
                     break;
                 }
             }
