--- a/src/server/drain.rs
+++ b/src/server/drain.rs
@@ -119,7 +119,7 @@
         loop {
             let state = self.step();
             if state != logged {
-                info!(log, "drain phase changed"; "phase" => %state, "in_flight" => self.in_flight());
+                info!(log, "drain"; "phase" => %state, "in_flight" => self.in_flight());
                 logged = state;
             }
             if let DrainState::Finished(outcome) = state {
