--- a/crates/instance/src/instance/peers.rs
+++ b/crates/instance/src/instance/peers.rs
@@ -1,8 +1,8 @@
 //! Links to other instances.
 //!
-//! A small cluster is a full mesh: an instance dials all others when it starts.
+//! A small deployment is a full mesh: an instance dials all others when it starts.
 //! When a link is lost, the side with the smaller name redials at short intervals,
-//! the other side at longer ones. In a larger cluster each instance dials its
+//! the other side at longer ones. In a larger deployment each instance dials its
 //! desired peers, and [`retire`] closes links that are no longer needed.
 
 use std::collections::HashSet;
--- a/crates/instance/src/store_polling.rs
+++ b/crates/instance/src/store_polling.rs
@@ -175,7 +175,7 @@
 }
 
 /// Exponential delay with jitter after consecutive failed registrations: when all
-/// instances of a large cluster start at once, their writes exceed the store's rate
+/// instances of a large deployment start at once, their writes exceed the store's rate
 /// limit.
 fn registration_backoff(name: &str, failures: u32) -> Duration {
     let delay_max = RETRY_DELAY * 2_u32.pow(failures.min(REGISTRATION_DOUBLINGS_MAX));
