--- a/crates/core/src/dispatch/order.rs
+++ b/crates/core/src/dispatch/order.rs
@@ -28,8 +28,8 @@
 
 /// Starts one run of a task.
 #[derive(Clone, Debug)]
+#[expect(missing_docs, reason = "`target` explains itself")]
 pub struct StartOrder {
-    /// The worker.
     pub target: Target,
     /// Name of the task.
     pub task: Arc<str>,
@@ -45,12 +45,12 @@
 
 /// Stops one run.
 #[derive(Clone, Debug)]
+#[expect(missing_docs, reason = "`target` explains itself")]
 pub struct StopOrder {
-    /// The worker.
     pub target: Target,
     /// Name of the task.
     pub task: Arc<str>,
-    /// Run of the task.
+    /// Number of the run.
     pub run_id: u64,
     /// Timeout of the call.
     pub answer_timeout_ms: u64,
@@ -59,8 +59,8 @@
 /// Renews the lease, acknowledges completions and requests the worker's runs and
 /// further completions.
 #[derive(Clone, Debug)]
+#[expect(missing_docs, reason = "`target` explains itself")]
 pub struct RenewOrder {
-    /// The worker.
     pub target: Target,
     /// Unique among the renewals sent to the worker.
     pub number: u64,
@@ -124,7 +124,7 @@
     pub number: u64,
     /// Name of the task.
     pub task: Arc<str>,
-    /// Run of the task.
+    /// Number of the run.
     pub run_id: u64,
     /// How the run ended.
     pub outcome: RunOutcome,
