--- a/xtask/src/figures/tables.rs
+++ b/xtask/src/figures/tables.rs
@@ -100,7 +100,8 @@
     report.failures.values().sum::<u64>() + report.lost + report.cut_off + report.not_sent
 }
 
-/// Counted at the backend servers; instances add what only they can see.
+/// The larger of the counts by backend servers and by instances. Both cover the same run, but
+/// each side misses messages that only the other side sees.
 fn wasted_per_task(report: &LoadReport) -> f64 {
     let waste = &report.waste;
     waste
