--- a/crates/instance/src/instance/peers.rs
+++ b/crates/instance/src/instance/peers.rs
@@ -1,8 +1,8 @@
 //! Links to other instances.
 //!
-//! A small cluster is a full mesh: an instance dials all others when it starts.
+//! A small deployment is a full mesh: an instance dials all others when it starts.
 //! When a link is lost, the side with the smaller name redials at short intervals,
-//! the other side at longer ones. In a larger cluster each instance dials its
+//! the other side at longer ones. In a larger deployment each instance dials its
 //! desired peers, and [`retire`] closes links that are no longer needed.
 
 use std::collections::HashSet;
@@ -214,7 +214,7 @@
                 Ok(Some(frame)) => self.on_frame(id, frame),
                 Ok(None) => break,
                 Err(error) => {
-                    warn!(self.log, "cannot read from a link"; "error" => %error);
+                    warn!(self.log, "link error"; "error" => %error);
                     break;
                 }
             }
