--- a/src/links/outbound.rs
+++ b/src/links/outbound.rs
@@ -232,7 +232,7 @@
             true => counters.connects.add(1),
             false => counters.disconnects.add(1),
         }
-        slog::info!(self.context.log, "connection to peer changed"; "peer" => &self.name, "connected" => connected);
+        slog::info!(self.context.log, "link"; "peer" => &self.name, "connected" => connected);
     }
 
     /// Sends queued messages until the connection is closed or a write fails.
