--- a/crates/core/src/dispatch/owner.rs
+++ b/crates/core/src/dispatch/owner.rs
@@ -280,7 +280,7 @@
     }
 
     /// Handles everything that is due at `now_ms`: retries, expired leases, overdue
-    /// runs, and jobs that cannot be useful any more. Must be called periodically.
+    /// runs, and expired jobs. Must be called periodically.
     pub fn tick(&mut self, now_ms: u64, out: &mut Vec<Command>) {
         if self.released {
             return;
--- a/crates/core/src/dispatch/owner/queue.rs
+++ b/crates/core/src/dispatch/owner/queue.rs
@@ -10,7 +10,7 @@
 //!    meet its objective.
 //!
 //! Under overload, ordering by latest start alone would begin every job just before
-//! it becomes useless, and most would finish late.
+//! it expires, and most would finish late.
 //!
 //! The queue is sorted when a job or a task begins to wait and on each tick, not on
 //! every event: a long queue is scanned often and changes rarely.
